--- a/src/main/java/reedquay/net/ClientSession.java
+++ b/src/main/java/reedquay/net/ClientSession.java
@@ -21,34 +21,34 @@
 
 /** One client's connection: takes its messages in order, one RPC in hand at a time. */
 final class ClientSession extends ChannelInboundHandlerAdapter {
-    private enum State { FIRST, FREE, BLOCKED, IN_HAND, SKIPPING, CLOSING }
+    private enum State { STARTUP, IDLE, AWAITING_READINESS, IN_FLIGHT, SKIPPING_TO_SYNC, CLOSING }
 
-    private static final int TURN = 16; // messages taken from one client before the others have their turn
+    private static final int MESSAGES_PER_TURN = 16; // messages taken from one client before the others have their turn
 
     final FrameDecoder decoder = FrameDecoder.forClient(Limits.MAX_MESSAGE_BYTES);
     private final Gateway gateway;
-    private final Dispatcher door;
-    private final ArrayDeque<Frame> ahead = new ArrayDeque<>();
-    private int aheadBytes;
-    private State state = State.FIRST;
+    private final Dispatcher dispatcher;
+    private final ArrayDeque<Frame> queued = new ArrayDeque<>();
+    private int queuedBytes;
+    private State state = State.STARTUP;
     private Channel channel;
     private Rpc rpc;
     private Statement statement;
     private boolean draining;
-    private boolean counted;
-    private boolean used; // something has come behind its startup
+    private boolean registered;
+    private boolean commandReceived; // something has come behind its startup
     private long connectedAt;
-    private String refusal; // what is wrong with what it sent, told once all that came before is answered
-    private long since; // when it was last seen to owe nothing; before its first message, when it came
-    private int partial; // bytes of a message that is not whole
-    private int turn;
-    private boolean yielded;
-    private Map<String, String> parameters; // of its startup, where somebody asks for them
+    private String inputError; // what is wrong with what it sent, told once all that came before is answered
+    private long lastProgressAt; // when it was last seen to owe nothing; before its first message, when it came
+    private int partialBytes; // bytes of a message that is not whole
+    private int messagesThisTurn;
+    private boolean turnScheduled;
+    private Map<String, String> startupParameters; // of its startup, where somebody asks for them
     private String clientAddress;
 
-    ClientSession(Gateway gateway, Dispatcher door) {
+    ClientSession(Gateway gateway, Dispatcher dispatcher) {
         this.gateway = gateway;
-        this.door = door;
+        this.dispatcher = dispatcher;
     }
 
     @Override public void handlerAdded(ChannelHandlerContext ctx) {
@@ -56,21 +56,21 @@
     }
 
     @Override public void channelActive(ChannelHandlerContext ctx) {
-        counted = true;
-        connectedAt = door.clock.now();
-        since = connectedAt;
-        door.counters.add("client.accepted");
+        registered = true;
+        connectedAt = dispatcher.clock.now();
+        lastProgressAt = connectedAt;
+        dispatcher.counters.add("client.accepted");
         gateway.sessionOpened(this);
     }
 
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         Frame frame = (Frame) message;
-        if (state != State.FIRST) {
-            since = gateway.lastSweepAt();
+        if (state != State.STARTUP) {
+            lastProgressAt = gateway.lastSweepAt();
         }
-        ahead.addLast(frame);
-        aheadBytes += Limits.memoryCost(frame);
-        door.limits.addHeldBytes(Limits.memoryCost(frame));
+        queued.addLast(frame);
+        queuedBytes += Limits.memoryCost(frame);
+        dispatcher.limits.addHeldBytes(Limits.memoryCost(frame));
         processQueue();
     }
 
@@ -80,15 +80,15 @@
     }
 
     private void setPartialBytes(int bytes) {
-        int more = bytes - partial;
-        partial = bytes;
-        if (counted) {
-            gateway.addPartialBytes(more);
+        int change = bytes - partialBytes;
+        partialBytes = bytes;
+        if (registered) {
+            gateway.addPartialBytes(change);
         }
     }
 
     int partialBytes() {
-        return partial;
+        return partialBytes;
     }
 
     @Override public void channelWritabilityChanged(ChannelHandlerContext ctx) {
@@ -97,42 +97,42 @@
 
     /** Works through what has come, as far as the one RPC in hand and a client that reads allow. */
     private void processQueue() {
-        while (!ahead.isEmpty() && state != State.IN_HAND && state != State.BLOCKED
+        while (!queued.isEmpty() && state != State.IN_FLIGHT && state != State.AWAITING_READINESS
                 && (channel.isWritable() || state == State.CLOSING)) {
-            if (++turn > TURN) { // guards the others against hundreds of commands at once
-                if (!yielded) {
-                    yielded = true;
+            if (++messagesThisTurn > MESSAGES_PER_TURN) { // guards the others against hundreds of commands at once
+                if (!turnScheduled) {
+                    turnScheduled = true;
                     channel.eventLoop().execute(this::nextTurn);
                 }
                 gateway.setIdle(this, false);
                 return;
             }
-            Frame frame = ahead.pollFirst();
-            aheadBytes -= Limits.memoryCost(frame);
+            Frame frame = queued.pollFirst();
+            queuedBytes -= Limits.memoryCost(frame);
             try {
                 handle(frame);
             } finally {
                 release(frame);
             }
         }
-        boolean nothing = ahead.isEmpty() && state != State.IN_HAND && state != State.BLOCKED;
-        if (nothing && refusal != null && state != State.CLOSING) {
-            sendFatalError("08P01", refusal);
+        boolean allAnswered = queued.isEmpty() && state != State.IN_FLIGHT && state != State.AWAITING_READINESS;
+        if (allAnswered && inputError != null && state != State.CLOSING) {
+            sendFatalError("08P01", inputError);
         }
         if (state == State.CLOSING) {
             return; // what still comes is passed over
         }
         // a client that sends ahead without end, or reads nothing, is not read from; nobody is while memory is short
-        channel.config().setAutoRead(aheadBytes <= door.limits.maxQueuedBytes && !door.limits.isMemoryFull());
-        if (draining && state == State.FREE && ahead.isEmpty()) {
+        channel.config().setAutoRead(queuedBytes <= dispatcher.limits.maxQueuedBytes && !dispatcher.limits.isMemoryFull());
+        if (draining && state == State.IDLE && queued.isEmpty()) {
             closeAfterFlush();
         }
-        gateway.setIdle(this, state == State.FREE && ahead.isEmpty());
+        gateway.setIdle(this, state == State.IDLE && queued.isEmpty());
     }
 
     private void nextTurn() {
-        yielded = false;
-        turn = 0;
+        turnScheduled = false;
+        messagesThisTurn = 0;
         resume();
     }
 
@@ -140,18 +140,18 @@
      * Guards against clients that take a place and give nothing: one that says nothing, one whose message never ends,
      * and one that was refused and still sends.
      */
-    void sweep(long now, long linger) {
+    void sweep(long now, long lingerTimeout) {
         if (state == State.CLOSING) {
-            if (now - since >= (refusal == null ? Limits.UNUSED_TIMEOUT_NANOS : linger)) { // a last answer may still be on its way
+            if (now - lastProgressAt >= (inputError == null ? Limits.UNUSED_TIMEOUT_NANOS : lingerTimeout)) { // a last answer may still be on its way
                 channel.close();
             }
-        } else if (state != State.FIRST && !decoder.hasPartialMessage() || !channel.config().isAutoRead()) {
-            since = now;
-        } else if (now - since >= Limits.UNUSED_TIMEOUT_NANOS) {
+        } else if (state != State.STARTUP && !decoder.hasPartialMessage() || !channel.config().isAutoRead()) {
+            lastProgressAt = now;
+        } else if (now - lastProgressAt >= Limits.UNUSED_TIMEOUT_NANOS) {
             if (decoder.hasPartialMessage()) {
                 rejectInput("a message that does not end");
             } else {
-                door.counters.add("client.closed.silent");
+                dispatcher.counters.add("client.closed.silent");
                 channel.close();
             }
         }
@@ -163,13 +163,13 @@
 
     /** Whether it is not read from for want of memory. */
     boolean isPausedForMemory() {
-        return !channel.config().isAutoRead() && aheadBytes <= door.limits.maxQueuedBytes && state != State.CLOSING;
+        return !channel.config().isAutoRead() && queuedBytes <= dispatcher.limits.maxQueuedBytes && state != State.CLOSING;
     }
 
     /** What it sends can't be read from here on. Guards what came before: an RPC taken stays owed its answer. */
-    void rejectInput(String kind) {
-        if (refusal == null && state != State.CLOSING) {
-            refusal = kind;
+    void rejectInput(String error) {
+        if (inputError == null && state != State.CLOSING) {
+            inputError = error;
             decoder.discardInput();
             setPartialBytes(0);
             processQueue();
@@ -185,26 +185,26 @@
             handleStartup(frame);
             return;
         }
-        if (!used) {
-            used = true;
+        if (!commandReceived) {
+            commandReceived = true;
             gateway.commandReceived(this);
         }
         switch (frame.type) {
             case 'Q' -> {
-                if (state == State.SKIPPING) {
+                if (state == State.SKIPPING_TO_SYNC) {
                     return;
                 }
                 handleQuery(frame);
             }
             case 'X' -> closeAfterFlush();
             case 'P', 'B', 'D', 'E', 'C', 'F' -> {
-                if (state != State.SKIPPING) {
+                if (state != State.SKIPPING_TO_SYNC) {
                     write(Messages.errorResponse(buffer(), "ERROR", "0A000", "only simple queries are served", null));
-                    state = State.SKIPPING;
+                    state = State.SKIPPING_TO_SYNC;
                 }
             }
             case 'S' -> {
-                state = State.FREE;
+                state = State.IDLE;
                 write(Messages.readyForQuery(buffer()));
             }
             case 'H', 'd', 'c', 'f' -> { }
@@ -221,8 +221,8 @@
                     sendFatalError("0A000", "only version 3 of the protocol is served");
                     return;
                 }
-                state = State.FREE;
-                parameters = gateway.clientIdentifier() == null ? null : frame.startupParameters();
+                state = State.IDLE;
+                startupParameters = gateway.clientIdentifier() == null ? null : frame.startupParameters();
                 gateway.startupReceived(this);
                 write(Messages.readyForQuery(Messages.startupResponse(buffer(), 1, 1)));
             }
@@ -234,26 +234,26 @@
             startRpc(frame);
             return;
         }
-        String head = frame.stringAt(0);
-        String word = head.length() > 64 ? "" : head.strip().replaceAll("[;\\s]+$", "").toUpperCase(Locale.ROOT);
-        if (word.isEmpty() && head.length() <= 64) {
-            state = State.BLOCKED;
+        String text = frame.stringAt(0);
+        String command = text.length() > 64 ? "" : text.strip().replaceAll("[;\\s]+$", "").toUpperCase(Locale.ROOT);
+        if (command.isEmpty() && text.length() <= 64) {
+            state = State.AWAITING_READINESS;
             gateway.whenReady(this::answerEmptyQuery);
-        } else if (word.equals("SHOW COUNTERS")) {
+        } else if (command.equals("SHOW COUNTERS")) {
             sendCounters();
-        } else if (word.matches("SHOW [A-Z]+") && gateway.showTable(word.substring(5).toLowerCase(Locale.ROOT)) != null) {
-            List<String[]> table = gateway.showTable(word.substring(5).toLowerCase(Locale.ROOT));
+        } else if (command.matches("SHOW [A-Z]+") && gateway.showTable(command.substring(5).toLowerCase(Locale.ROOT)) != null) {
+            List<String[]> table = gateway.showTable(command.substring(5).toLowerCase(Locale.ROOT));
             sendTable(table.subList(1, table.size()), table.get(0));
-        } else if (word.matches("(SET|RESET|DISCARD)( .*)?")) {
-            write(Messages.readyForQuery(Messages.commandComplete(buffer(), word.replaceAll(" .*", ""))));
+        } else if (command.matches("(SET|RESET|DISCARD)( .*)?")) {
+            write(Messages.readyForQuery(Messages.commandComplete(buffer(), command.replaceAll(" .*", ""))));
         } else {
             startRpc(frame);
         }
     }
 
     private void answerEmptyQuery() {
-        if (state == State.BLOCKED) {
-            state = State.FREE;
+        if (state == State.AWAITING_READINESS) {
+            state = State.IDLE;
             write(Messages.readyForQuery(Messages.emptyQueryResponse(buffer())));
             processQueue();
             channel.flush();
@@ -262,7 +262,7 @@
 
     private void sendCounters() {
         List<String[]> rows = new ArrayList<>();
-        door.allCounters().forEach((name, value) -> rows.add(new String[] {name, value.toString()}));
+        dispatcher.allCounters().forEach((name, value) -> rows.add(new String[] {name, value.toString()}));
         sendTable(rows, "name", "value");
     }
 
@@ -273,30 +273,30 @@
     }
 
     private void startRpc(Frame frame) {
-        Statement next;
+        Statement parsed;
         try {
-            next = new Statement(frame);
-            Method method = door.method(next.method);
+            parsed = new Statement(frame);
+            Method method = dispatcher.method(parsed.method);
             if (method == null) {
                 throw new Statement.InvalidStatementException("no class has that name");
             }
-            next.validateFor(method);
-            if (door.isInFlight(next.id)) {
+            parsed.validateFor(method);
+            if (dispatcher.isInFlight(parsed.id)) {
                 throw new Statement.InvalidStatementException("the id is that of an RPC that is open");
             }
         } catch (Statement.InvalidStatementException e) {
-            door.counters.add("client.unfit");
-            door.logOnce("a client sent what cannot be routed: " + e.getMessage());
+            dispatcher.counters.add("client.unfit");
+            dispatcher.logOnce("a client sent what cannot be routed: " + e.getMessage());
             write(Messages.readyForQuery(Messages.errorResponse(buffer(), "ERROR", "42601", e.getMessage(), null)));
             return;
         }
         frame.retain(); // until its final answer
-        door.limits.addHeldBytes(Limits.memoryCost(frame));
-        statement = next;
-        state = State.IN_HAND;
-        rpc = door.acceptRpc(this, statement, gateway.clientIdentifier());
-        Rpc taken = rpc;
-        door.submitInput(d -> d.rpcArrived(taken));
+        dispatcher.limits.addHeldBytes(Limits.memoryCost(frame));
+        statement = parsed;
+        state = State.IN_FLIGHT;
+        rpc = dispatcher.acceptRpc(this, statement, gateway.clientIdentifier());
+        Rpc started = rpc;
+        dispatcher.submitInput(d -> d.rpcArrived(started));
     }
 
     /** A name for this connection that no other has while it lives. */
@@ -306,14 +306,14 @@
 
     /** Where it comes from, without the port. */
     String clientAddress() {
-        if (clientAddress == null && channel.remoteAddress() instanceof InetSocketAddress from) {
-            clientAddress = from.getAddress().getHostAddress();
+        if (clientAddress == null && channel.remoteAddress() instanceof InetSocketAddress remote) {
+            clientAddress = remote.getAddress().getHostAddress();
         }
         return clientAddress;
     }
 
     String startupParameter(String name) {
-        return parameters == null ? null : parameters.get(name);
+        return startupParameters == null ? null : startupParameters.get(name);
     }
 
     Statement statement() {
@@ -327,16 +327,16 @@
     }
 
     /** The final answer as an error; millis: when to come back, null for no advice. */
-    void sendError(String code, String message, String millis) {
-        finishRpc(Messages.readyForQuery(Messages.errorResponse(buffer(), "ERROR", code, message, millis)));
+    void sendError(String code, String message, String retryAfterMillis) {
+        finishRpc(Messages.readyForQuery(Messages.errorResponse(buffer(), "ERROR", code, message, retryAfterMillis)));
     }
 
-    private void finishRpc(ByteBuf last) {
-        channel.writeAndFlush(last);
+    private void finishRpc(ByteBuf response) {
+        channel.writeAndFlush(response);
         clearRpc();
-        state = State.FREE;
+        state = State.IDLE;
         // guards against an RPC that is taken from within the batch of decisions that answered the last one
-        door.runAfterBatch(this::resume);
+        dispatcher.runAfterBatch(this::resume);
     }
 
     /** Goes on with what came ahead, or reads again. */
@@ -348,7 +348,7 @@
     }
 
     private void release(Frame frame) {
-        door.limits.addHeldBytes(-Limits.memoryCost(frame));
+        dispatcher.limits.addHeldBytes(-Limits.memoryCost(frame));
         frame.release();
     }
 
@@ -363,14 +363,14 @@
     /** From now on the session closes as soon as it has nothing in hand. */
     void drain() {
         draining = true;
-        if (state == State.FREE && ahead.isEmpty() || state == State.FIRST || state == State.BLOCKED) {
+        if (state == State.IDLE && queued.isEmpty() || state == State.STARTUP || state == State.AWAITING_READINESS) {
             closeAfterFlush();
         }
     }
 
     void closeAfterFlush() {
         state = State.CLOSING;
-        since = door.clock.now();
+        lastProgressAt = dispatcher.clock.now();
         channel.writeAndFlush(channel.alloc().buffer(0)).addListener(ChannelFutureListener.CLOSE);
     }
 
@@ -379,10 +379,10 @@
      * sweep, of time. Guards the error: closed at once, a connection with unread bytes is reset, which can overtake it.
      */
     private void sendFatalError(String code, String message) {
-        door.counters.add("client.malformed");
-        door.logOnce("a client sent what the protocol does not allow: " + message);
+        dispatcher.counters.add("client.malformed");
+        dispatcher.logOnce("a client sent what the protocol does not allow: " + message);
         state = State.CLOSING;
-        since = door.clock.now();
+        lastProgressAt = dispatcher.clock.now();
         decoder.discardInput();
         setPartialBytes(0);
         channel.config().setAutoRead(true);
@@ -398,15 +398,15 @@
     @Override public void channelInactive(ChannelHandlerContext ctx) {
         state = State.CLOSING;
         setPartialBytes(0);
-        ahead.forEach(this::release);
-        ahead.clear();
+        queued.forEach(this::release);
+        queued.clear();
         if (rpc != null) {
-            Rpc left = rpc;
+            Rpc abandoned = rpc;
             clearRpc();
-            door.clientDisconnected(left);
+            dispatcher.clientDisconnected(abandoned);
         }
-        if (counted) {
-            counted = false;
+        if (registered) {
+            registered = false;
             gateway.sessionClosed(this);
         }
     }
@@ -417,8 +417,8 @@
         } else if (cause instanceof DecoderException) {
             rejectInput("what is no message, or one of an impossible length");
         } else { // guards the others: whatever else went wrong here ends here
-            door.counters.add("client.failed");
-            door.logOnce("a session failed: " + cause.getClass().getSimpleName());
+            dispatcher.counters.add("client.failed");
+            dispatcher.logOnce("a session failed: " + cause.getClass().getSimpleName());
             ctx.close();
         }
     }
--- a/src/main/java/reedquay/net/Configuration.java
+++ b/src/main/java/reedquay/net/Configuration.java
@@ -29,17 +29,17 @@
 
     public static Configuration parse(String json) {
         try {
-            JsonObject all = JsonParser.parseString(json).getAsJsonObject();
-            JsonObject limits = all.has("limits") ? all.getAsJsonObject("limits") : new JsonObject();
+            JsonObject root = JsonParser.parseString(json).getAsJsonObject();
+            JsonObject limits = root.has("limits") ? root.getAsJsonObject("limits") : new JsonObject();
             Map<String, String> pairs = new TreeMap<>();
-            flatten("", required(all, "settings"), pairs);
-            String seed = all.has("seed") ? all.get("seed").getAsString() : "0";
-            return new Configuration(all.has("name") ? all.get("name").getAsString() : "gateway",
-                    address(required(all, "listen").getAsString()), address(required(all, "discovery").getAsString()),
+            flatten("", required(root, "settings"), pairs);
+            String seed = root.has("seed") ? root.get("seed").getAsString() : "0";
+            return new Configuration(root.has("name") ? root.get("name").getAsString() : "gateway",
+                    address(required(root, "listen").getAsString()), address(required(root, "discovery").getAsString()),
                     new BigInteger(seed, 16).longValue(),
                     limits.has("memory_mb") ? limits.get("memory_mb").getAsInt() : 192,
                     limits.has("sockets") ? limits.get("sockets").getAsInt() : 1024,
-                    all.has("known") && all.get("known").isJsonObject() ? all.getAsJsonObject("known") : null,
+                    root.has("known") && root.get("known").isJsonObject() ? root.getAsJsonObject("known") : null,
                     new SettingsReader(pairs));
         } catch (JsonParseException | IllegalStateException | NumberFormatException | ClassCastException e) {
             throw new IllegalArgumentException("the configuration is not as expected: " + e.getMessage(), e);
@@ -48,27 +48,27 @@
 
     /** What the next one changes that a running gateway cannot, in words; empty for nothing. */
     String changesNeedingRestart(Configuration next) {
-        List<String> unlike = new ArrayList<>();
+        List<String> changed = new ArrayList<>();
         if (!name.equals(next.name)) {
-            unlike.add("name");
+            changed.add("name");
         }
         if (!listen.equals(next.listen)) {
-            unlike.add("listen");
+            changed.add("listen");
         }
         if (memoryMb != next.memoryMb || sockets != next.sockets) {
-            unlike.add("limits");
+            changed.add("limits");
         }
         if (!settings.equals(next.settings)) {
-            unlike.add("settings");
+            changed.add("settings");
         }
-        return String.join(", ", unlike);
+        return String.join(", ", changed);
     }
 
-    private static JsonElement required(JsonObject all, String name) {
-        if (!all.has(name)) {
+    private static JsonElement required(JsonObject object, String name) {
+        if (!object.has(name)) {
             throw new IllegalArgumentException("the configuration lacks " + name);
         }
-        return all.get(name);
+        return object.get(name);
     }
 
     /** host:port; the host is an address, nothing is looked up. */
--- a/src/main/java/reedquay/net/Counters.java
+++ b/src/main/java/reedquay/net/Counters.java
@@ -6,8 +6,8 @@
 
 /** Counts by name what a gateway takes in, sends and answers; used on its event loop alone. */
 public final class Counters {
-    private static final long[] LATE_MILLIS = {2, 5, 20, 100};
-    private static final String[] LATE_NAMES = {"loop.late.to2ms", "loop.late.to5ms", "loop.late.to20ms",
+    private static final long[] DELAY_BOUNDS_MILLIS = {2, 5, 20, 100};
+    private static final String[] DELAY_COUNTERS = {"loop.late.to2ms", "loop.late.to5ms", "loop.late.to20ms",
         "loop.late.to100ms", "loop.late.over100ms"};
 
     private final Map<String, long[]> counts = new TreeMap<>();
@@ -24,10 +24,10 @@
     /** How late a timer of the event loop rang, in a few coarse bins. */
     void recordTimerDelay(long nanos) {
         int bin = 0;
-        while (bin < LATE_MILLIS.length && nanos >= LATE_MILLIS[bin] * 1_000_000) {
+        while (bin < DELAY_BOUNDS_MILLIS.length && nanos >= DELAY_BOUNDS_MILLIS[bin] * 1_000_000) {
             bin++;
         }
-        add(LATE_NAMES[bin]);
+        add(DELAY_COUNTERS[bin]);
     }
 
     /** What is read when the counters are asked for. */
@@ -36,10 +36,10 @@
     }
 
     /** What must hold: asserted in debug builds, counted in release builds. */
-    void check(boolean holds, String what) {
-        assert holds : what;
-        if (!holds) {
-            add("broken." + what);
+    void check(boolean condition, String invariant) {
+        assert condition : invariant;
+        if (!condition) {
+            add("broken." + invariant);
         }
     }
 
--- a/src/main/java/reedquay/net/Dispatcher.java
+++ b/src/main/java/reedquay/net/Dispatcher.java
@@ -35,7 +35,7 @@
 /** Turns what happens on sockets into the decisions' inputs, and their effects into writes; decides nothing. */
 final class Dispatcher implements RoutingActions {
     private static final System.Logger LOG = System.getLogger("reedquay");
-    private static final int KEPT_COMPLAINTS = 64;
+    private static final int MAX_DISTINCT_WARNINGS = 64;
 
     final MonotonicClock clock;
     final Limits limits;
@@ -45,23 +45,23 @@
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final Settings settings;
-    private final RoutingEngine decider;
+    private final RoutingEngine engine;
     private final Map<String, Method> methods = new HashMap<>();
     private final Map<String, Pool> pools = new LinkedHashMap<>();
-    private final Set<String> complained = new HashSet<>();
-    private final Map<Long, Rpc> open = new LinkedHashMap<>(); // the RPCs in hand by their ids
-    private final ArrayDeque<Consumer<RoutingEngine>> inputs = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> runAfterBatch = new ArrayDeque<>();
+    private final Set<String> loggedWarnings = new HashSet<>();
+    private final Map<Long, Rpc> inFlightById = new LinkedHashMap<>(); // the RPCs in hand by their ids
+    private final ArrayDeque<Consumer<RoutingEngine>> pendingInputs = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> afterBatchTasks = new ArrayDeque<>();
     private final ArrayDeque<MemberConnection> settling = new ArrayDeque<>(); // those that have answered, in order
     private boolean inBatch;
-    private boolean goingOn; // what came afterwards is being run
-    private ScheduledFuture<?> alarm;
-    private long answerAllBy = Long.MAX_VALUE;
+    private boolean runningAfterBatchTasks; // what came afterwards is being run
+    private ScheduledFuture<?> wakeUpTimer;
+    private long answerDeadline = Long.MAX_VALUE;
     private int inFlight;
     private int outstandingProbes;
 
     Dispatcher(EventLoop loop, Bootstrap bootstrap, MonotonicClock clock, Limits limits, Counters counters,
-            SettingsReader reader, long seed, BiFunction<Settings, RoutingActions, RoutingEngine> maker) {
+            SettingsReader reader, long seed, BiFunction<Settings, RoutingActions, RoutingEngine> engineFactory) {
         this.loop = loop;
         this.bootstrap = bootstrap;
         this.clock = clock;
@@ -70,7 +70,7 @@
         settings = reader.readSettings(seed);
         reports = reader.loadReportParser(0); // Unix time, whatever zero the settings name
         settings.methods().forEach(m -> methods.put(m.name(), m));
-        decider = maker.apply(settings, this);
+        engine = engineFactory.apply(settings, this);
         counters.gauge("rpc.inhand", () -> inFlight);
         counters.gauge("member.known", pools::size);
     }
@@ -79,55 +79,55 @@
 
     /** All counters now, those of stages before the decisions too. */
     Map<String, Long> allCounters() {
-        Map<String, Long> all = counters.snapshot();
-        if (decider instanceof Stage stage) {
-            stage.addCounters(all);
+        Map<String, Long> counts = counters.snapshot();
+        if (engine instanceof Stage stage) {
+            stage.addCounters(counts);
         }
-        return all;
+        return counts;
     }
 
     /** A table that a stage before the decisions has; null for none. */
-    List<String[]> showTable(String what) {
-        return decider instanceof Stage stage ? stage.statisticsTable(what) : null;
+    List<String[]> showTable(String name) {
+        return engine instanceof Stage stage ? stage.statisticsTable(name) : null;
     }
 
     /** One input is one batch; what an effect brings about at once is the next batch's. */
-    void submitInput(Consumer<RoutingEngine> next) {
-        inputs.addLast(next);
+    void submitInput(Consumer<RoutingEngine> input) {
+        pendingInputs.addLast(input);
         if (inBatch) {
             return;
         }
         inBatch = true;
         try {
-            while (!inputs.isEmpty()) {
-                runBatch(inputs.pollFirst());
+            while (!pendingInputs.isEmpty()) {
+                runBatch(pendingInputs.pollFirst());
             }
         } finally {
             inBatch = false;
         }
-        if (goingOn) {
+        if (runningAfterBatchTasks) {
             return; // guards the stack: whoever sends many RPCs ahead would nest one call into the next
         }
-        goingOn = true;
+        runningAfterBatchTasks = true;
         try {
-            while (!runAfterBatch.isEmpty()) {
+            while (!afterBatchTasks.isEmpty()) {
                 try {
-                    runAfterBatch.pollFirst().run();
+                    afterBatchTasks.pollFirst().run();
                 } catch (RuntimeException e) { // one session's fault must not take the others with it
                     counters.add("broken.session");
                     logOnce("a session could not go on: " + e);
                 }
             }
         } finally {
-            goingOn = false;
+            runningAfterBatchTasks = false;
         }
     }
 
     private void runBatch(Consumer<RoutingEngine> input) {
         try {
-            decider.beginBatch(clock.now());
-            input.accept(decider);
-            decider.endBatch();
+            engine.beginBatch(clock.now());
+            input.accept(engine);
+            engine.endBatch();
         } catch (RuntimeException e) { // one RPC's fault must not take the others with it
             counters.add("broken.decision");
             logOnce("a decision failed: " + e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : ""));
@@ -135,13 +135,13 @@
     }
 
     /** Runs it behind the batch that is under way or is about to begin: an answer is told to the decisions first. */
-    void runAfterBatch(Runnable then) {
-        runAfterBatch.addLast(then);
+    void runAfterBatch(Runnable task) {
+        afterBatchTasks.addLast(task);
     }
 
     /** Whether an RPC of that id has no final answer yet. */
     boolean isInFlight(long id) {
-        return open.containsKey(id);
+        return inFlightById.containsKey(id);
     }
 
     Method method(String name) {
@@ -149,29 +149,29 @@
     }
 
     /** Guards against the kill that ends a stop: nothing is in hand then. */
-    void answerAllBy(long time) {
-        answerAllBy = time;
-        for (Rpc rpc : List.copyOf(open.values())) {
-            if (rpc.deadline > time) { // its client would wait for longer than this gateway lives
-                rpc.deadline = time;
+    void answerAllBy(long deadline) {
+        answerDeadline = deadline;
+        for (Rpc rpc : List.copyOf(inFlightById.values())) {
+            if (rpc.deadline > deadline) { // its client would wait for longer than this gateway lives
+                rpc.deadline = deadline;
                 submitInput(d -> d.deadlineShortened(rpc));
             }
         }
     }
 
     /** An RPC was read whole. */
-    Rpc acceptRpc(ClientSession session, Statement statement, ClientIdentifier callers) {
+    Rpc acceptRpc(ClientSession session, Statement statement, ClientIdentifier identifier) {
         long now = clock.now();
-        long sees = statement.minPositionMillis == 0 ? 0 : reports.position(statement.minPositionMillis, false);
-        long tokenAge = statement.minPositionMillis == 0 ? 0 : Math.max(1, now - sees); // 0 would stand for none
+        long minPosition = statement.minPositionMillis == 0 ? 0 : reports.position(statement.minPositionMillis, false);
+        long tokenAge = statement.minPositionMillis == 0 ? 0 : Math.max(1, now - minPosition); // 0 would stand for none
         Method method = methods.get(statement.method); // a client waits for no longer than its deadline
         Rpc rpc = new Rpc(statement.id, statement.group, statement.session,
-                Math.min(now + Math.min(statement.waitMillis * 1_000_000, method.deadline()), answerAllBy),
+                Math.min(now + Math.min(statement.waitMillis * 1_000_000, method.deadline()), answerDeadline),
                 statement.retry, tokenAge, statement.tenant, method);
         rpc.frontState = session;
-        rpc.clientId = callers == null ? null : callers.identify(session, statement);
+        rpc.clientId = identifier == null ? null : identifier.identify(session, statement);
         inFlight++;
-        open.put(rpc.id, rpc);
+        inFlightById.put(rpc.id, rpc);
         counters.add("rpc.taken");
         trace.rpcAccepted(rpc, now);
         return rpc;
@@ -181,7 +181,7 @@
         if (!rpc.ended) {
             rpc.ended = true;
             inFlight--;
-            open.remove(rpc.id);
+            inFlightById.remove(rpc.id);
             counters.add("rpc.clientgone");
             trace.rpcEnded(rpc, "left by its client", "");
             submitInput(d -> d.clientGone(rpc));
@@ -202,41 +202,41 @@
     }
 
     /** A member has answered a send whole. */
-    void responseReceived(MemberRequest send, MemberConnection.Response answer) {
-        Outcome outcome = answer.sqlState == null ? Outcome.OK : switch (answer.sqlState) {
+    void responseReceived(MemberRequest request, MemberConnection.Response response) {
+        Outcome outcome = response.sqlState == null ? Outcome.OK : switch (response.sqlState) {
             case "25006", "72000" -> Outcome.MISS;
             case "53300" -> Outcome.FULL;
             default -> Outcome.ERROR;
         };
-        LoadReport report = MemberConnection.parseLoadReport(this, answer, send.callOut == null);
-        boolean commit = outcome == Outcome.OK && send.callOut != null
-                && send.callOut.rpc.method.consistency() == Method.Consistency.WRITE;
-        long position = answer.hasPosition ? reports.position(answer.positionMillis, commit) : LoadReport.NO_POSITION;
-        if (send.callOut == null && report == LoadReport.NONE) {
-            report = new LoadReport(position, answer.role, -1, -1, -1);
+        LoadReport report = MemberConnection.parseLoadReport(this, response, request.callOut == null);
+        boolean commit = outcome == Outcome.OK && request.callOut != null
+                && request.callOut.rpc.method.consistency() == Method.Consistency.WRITE;
+        long position = response.hasPosition ? reports.position(response.positionMillis, commit) : LoadReport.NO_POSITION;
+        if (request.callOut == null && report == LoadReport.NONE) {
+            report = new LoadReport(position, response.role, -1, -1, -1);
         }
-        completeRequest(send, outcome, answer, position, answer.role, report);
-        answer.release();
+        completeRequest(request, outcome, response, position, response.role, report);
+        response.release();
     }
 
     /** A send ended without an answer. */
-    void requestFailed(MemberRequest send, Outcome outcome) {
-        completeRequest(send, outcome, null, LoadReport.NO_POSITION, Role.UNKNOWN, LoadReport.NONE);
+    void requestFailed(MemberRequest request, Outcome outcome) {
+        completeRequest(request, outcome, null, LoadReport.NO_POSITION, Role.UNKNOWN, LoadReport.NONE);
     }
 
-    private void completeRequest(MemberRequest send, Outcome outcome, MemberConnection.Response answer, long position, Role role,
+    private void completeRequest(MemberRequest request, Outcome outcome, MemberConnection.Response response, long position, Role role,
             LoadReport report) {
-        counters.check(!send.completed, "one outcome for each send");
-        if (send.completed) {
+        counters.check(!request.completed, "one outcome for each send");
+        if (request.completed) {
             return;
         }
-        send.completed = true;
-        CallOut callOut = send.callOut;
+        request.completed = true;
+        CallOut callOut = request.callOut;
         if (callOut == null) {
             counters.add("probe." + outcome);
             outstandingProbes--;
-            long took = clock.now() - send.startedAt;
-            submitInput(d -> d.probeEnded(send.pool.member, outcome, took, report));
+            long took = clock.now() - request.startedAt;
+            submitInput(d -> d.probeEnded(request.pool.member, outcome, took, report));
             return;
         }
         counters.add("callout." + outcome);
@@ -246,62 +246,62 @@
         Rpc rpc = callOut.rpc;
         if (outcome == Outcome.OK && !rpc.ended) {
             recordFinalAnswer(rpc, "rpc.ok", false);
-            ((ClientSession) rpc.frontState).sendResult(answer.frames);
+            ((ClientSession) rpc.frontState).sendResult(response.frames);
         }
         long took = clock.now() - callOut.sentAt;
         boolean ended = rpc.ended;
         submitInput(d -> d.callOutEnded(callOut, outcome, took, ended, position, role, report));
     }
 
-    private void recordFinalAnswer(Rpc rpc, String how, boolean decided) {
+    private void recordFinalAnswer(Rpc rpc, String counter, boolean byEngine) {
         counters.check(!rpc.ended, "one final answer for each RPC");
         rpc.ended = true;
         inFlight--;
-        open.remove(rpc.id);
-        counters.add(how);
-        trace.rpcEnded(rpc, how, decided && trace.enabled ? decider.explain(rpc) : "");
+        inFlightById.remove(rpc.id);
+        counters.add(counter);
+        trace.rpcEnded(rpc, counter, byEngine && trace.enabled ? engine.explain(rpc) : "");
     }
 
     // ---- Effects ----
 
     @Override public void sendCallOut(CallOut callOut, long limit) {
         Pool pool = (Pool) callOut.member.frontState;
-        long until = limit > 0 ? Math.min(callOut.rpc.deadline, callOut.sentAt + limit) : callOut.rpc.deadline;
-        MemberRequest send = new MemberRequest(callOut, pool, callOut.sentAt, until);
-        callOut.frontState = send;
+        long deadline = limit > 0 ? Math.min(callOut.rpc.deadline, callOut.sentAt + limit) : callOut.rpc.deadline;
+        MemberRequest request = new MemberRequest(callOut, pool, callOut.sentAt, deadline);
+        callOut.frontState = request;
         counters.add("callout");
         callOut.awaitingConnection = true;
-        pool.submit(send);
+        pool.submit(request);
     }
 
     @Override public void proceed(CallOut callOut) {
-        MemberRequest send = (MemberRequest) callOut.frontState;
-        if (!send.completed) {
-            send.connection.send(send);
+        MemberRequest request = (MemberRequest) callOut.frontState;
+        if (!request.completed) {
+            request.connection.send(request);
         }
     }
 
     @Override public void cancel(CallOut callOut) {
-        MemberRequest send = (MemberRequest) callOut.frontState;
-        if (send.completed) {
+        MemberRequest request = (MemberRequest) callOut.frontState;
+        if (request.completed) {
             return;
         }
-        MemberConnection connection = send.connection;
+        MemberConnection connection = request.connection;
         if (connection != null && connection.state == MemberConnection.State.BUSY) {
             counters.add("member.closed.cancel");
             connection.abandon();
-            requestFailed(send, Outcome.CANCELLED);
+            requestFailed(request, Outcome.CANCELLED);
         } else {
-            send.pool.withdraw(send);
-            requestFailed(send, Outcome.NEVER_SENT);
+            request.pool.withdraw(request);
+            requestFailed(request, Outcome.NEVER_SENT);
         }
     }
 
-    @Override public void pushBack(Rpc rpc, long after) {
+    @Override public void pushBack(Rpc rpc, long retryAfter) {
         recordFinalAnswer(rpc, "rpc.pushedback", true);
         // rounded up: a client that came earlier would find nothing new
-        String millis = after > 0 ? Long.toString((after + 999_999) / 1_000_000) : null;
-        ((ClientSession) rpc.frontState).sendError("53300", "no room for this statement now; trying again is harmless", millis);
+        String retryAfterMillis = retryAfter > 0 ? Long.toString((retryAfter + 999_999) / 1_000_000) : null;
+        ((ClientSession) rpc.frontState).sendError("53300", "no room for this statement now; trying again is harmless", retryAfterMillis);
     }
 
     @Override public void abort(Rpc rpc) {
@@ -327,13 +327,13 @@
     }
 
     @Override public void scheduleWakeUp(long delay) {
-        if (alarm != null) {
-            alarm.cancel(false);
+        if (wakeUpTimer != null) {
+            wakeUpTimer.cancel(false);
         }
-        long at = clock.now() + delay;
-        alarm = loop.schedule(() -> {
-            alarm = null;
-            counters.recordTimerDelay(clock.now() - at);
+        long dueAt = clock.now() + delay;
+        wakeUpTimer = loop.schedule(() -> {
+            wakeUpTimer = null;
+            counters.recordTimerDelay(clock.now() - dueAt);
             submitInput(d -> { });
         }, delay, TimeUnit.NANOSECONDS);
     }
@@ -345,7 +345,7 @@
     }
 
     void logOnce(String line) {
-        if (complained.size() < KEPT_COMPLAINTS && complained.add(line)) {
+        if (loggedWarnings.size() < MAX_DISTINCT_WARNINGS && loggedWarnings.add(line)) {
             LOG.log(System.Logger.Level.WARNING, line);
         }
     }
@@ -373,21 +373,21 @@
 
     /** Guards against reading stale data: a position well ahead of the clock would stand for a fresh one. */
     boolean isPlausiblePosition(long millis) {
-        boolean is = millis >= 0 && millis - clock.now() / 1_000_000 <= settings.capabilities().connectTimeout() / 1_000_000;
-        counters.add("member.position.unreadable", is ? 0 : 1);
-        return is;
+        boolean plausible = millis >= 0 && millis - clock.now() / 1_000_000 <= settings.capabilities().connectTimeout() / 1_000_000;
+        counters.add("member.position.unreadable", plausible ? 0 : 1);
+        return plausible;
     }
 
-    ByteBuf buildQuery(MemberRequest send, ByteBufAllocator allocator) {
-        trace.callOutSent(send.callOut);
-        Rpc rpc = send.callOut.rpc;
-        long left = Math.max(1, (send.deadline - clock.now()) / 1_000_000);
-        return ((ClientSession) rpc.frontState).statement().queryForMember(allocator, left);
+    ByteBuf buildQuery(MemberRequest request, ByteBufAllocator allocator) {
+        trace.callOutSent(request.callOut);
+        Rpc rpc = request.callOut.rpc;
+        long remainingMillis = Math.max(1, (request.deadline - clock.now()) / 1_000_000);
+        return ((ClientSession) rpc.frontState).statement().queryForMember(allocator, remainingMillis);
     }
 
     ByteBuf buildProbeQuery(ByteBufAllocator allocator) {
-        boolean tells = settings.positionSources().inProbes();
-        return Messages.query(allocator.buffer(32), tells ? "SHOW server_load" : "SELECT 1");
+        boolean readsPositions = settings.positionSources().inProbes();
+        return Messages.query(allocator.buffer(32), readsPositions ? "SHOW server_load" : "SELECT 1");
     }
 
     /** Makes room for a connection by closing one that has been idle; false where there is none. */
@@ -395,9 +395,9 @@
         return pools.values().stream().anyMatch(p -> p.closeOldestIdle(Long.MAX_VALUE, "room"));
     }
 
-    void sweep(long idleFor) {
+    void sweep(long idleTimeout) {
         long now = clock.now();
-        new ArrayList<>(pools.values()).forEach(p -> p.sweep(now, settings.capabilities().connectTimeout(), idleFor));
+        new ArrayList<>(pools.values()).forEach(p -> p.sweep(now, settings.capabilities().connectTimeout(), idleTimeout));
     }
 
     int inFlight() {
@@ -413,8 +413,8 @@
     }
 
     void close() {
-        if (alarm != null) {
-            alarm.cancel(false);
+        if (wakeUpTimer != null) {
+            wakeUpTimer.cancel(false);
         }
         new ArrayList<>(pools.values()).forEach(Pool::closeAll);
     }
--- a/src/main/java/reedquay/net/Gateway.java
+++ b/src/main/java/reedquay/net/Gateway.java
@@ -37,24 +37,24 @@
     private final MonotonicClock clock = new MonotonicClock();
     private final Counters counters = new Counters();
     private final Limits limits;
-    private final Dispatcher door;
+    private final Dispatcher dispatcher;
     private final DiscoveryClient discovery;
-    private final long idleFor;
-    private final long sweepEvery;
+    private final long idleTimeout;
+    private final long sweepInterval;
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
-    private final Set<ClientSession> spoken = new LinkedHashSet<>(); // their startup has come
-    private final Set<ClientSession> unused = new LinkedHashSet<>(); // they have asked nothing, the oldest first
-    private final Set<ClientSession> free = new LinkedHashSet<>(); // the longest free one first
-    private final List<Runnable> waitingForReady = new ArrayList<>();
+    private final Set<ClientSession> startedSessions = new LinkedHashSet<>(); // their startup has come
+    private final Set<ClientSession> unusedSessions = new LinkedHashSet<>(); // they have asked nothing, the oldest first
+    private final Set<ClientSession> idleSessions = new LinkedHashSet<>(); // the longest free one first
+    private final List<Runnable> readinessCallbacks = new ArrayList<>();
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final long startedAt = clock.now();
     private long lastSweepAt = startedAt;
     private boolean ready;
-    private boolean stopBegan;
+    private boolean stopRequested;
     private boolean stopping; // it ends with its last session
     private boolean listening;
     private Channel listener;
-    private InetSocketAddress listFrom; // where discovery is now
+    private InetSocketAddress discoveryAddress; // where discovery is now
 
     /** Throws IllegalArgumentException where the settings are unfit. */
     public Gateway(Configuration configuration) {
@@ -62,21 +62,21 @@
     }
 
     /** The same with other parts, as stages before the Router. */
-    public Gateway(Configuration configuration, GatewayComponents parts) {
+    public Gateway(Configuration configuration, GatewayComponents components) {
         this.configuration = configuration;
-        clientIdentifier = parts.clientIdentifier();
+        clientIdentifier = components.clientIdentifier();
         limits = new Limits(configuration.sockets(), configuration.memoryMb());
         int connectMillis = 60_000; // never reached: the pool's sweep ends what does not come up in time
         Bootstrap bootstrap = new Bootstrap().group(group).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis);
-        door = new Dispatcher(loop, bootstrap, clock, limits, counters, configuration.settings(), configuration.seed(),
-                parts.deciderFactory());
-        discovery = new DiscoveryClient(door, bootstrap, loop);
-        listFrom = configuration.discovery();
+        dispatcher = new Dispatcher(loop, bootstrap, clock, limits, counters, configuration.settings(), configuration.seed(),
+                components.deciderFactory());
+        discovery = new DiscoveryClient(dispatcher, bootstrap, loop);
+        discoveryAddress = configuration.discovery();
         long keepalive = configuration.settings().keepaliveTimeout();
-        idleFor = keepalive > 0 ? keepalive / 2 : Long.MAX_VALUE / 2;
-        sweepEvery = Math.max(1_000_000, door.settings().capabilities().connectTimeout() / 8);
+        idleTimeout = keepalive > 0 ? keepalive / 2 : Long.MAX_VALUE / 2;
+        sweepInterval = Math.max(1_000_000, dispatcher.settings().capabilities().connectTimeout() / 8);
         counters.gauge("client.open", limits::openClients);
         counters.gauge("member.open", limits::openMemberConnections);
         counters.gauge("client.heldbytes", limits::heldBytes);
@@ -98,7 +98,7 @@
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override protected void initChannel(Channel channel) {
-                            ClientSession session = new ClientSession(Gateway.this, door);
+                            ClientSession session = new ClientSession(Gateway.this, dispatcher);
                             channel.pipeline().addLast(session.decoder, session);
                         }
                     })
@@ -121,28 +121,28 @@
             return;
         }
         long now = clock.now();
-        clock.slewTowardsWallClock(sweepEvery / 1000);
-        door.sweep(idleFor);
+        clock.slewTowardsWallClock(sweepInterval / 1000);
+        dispatcher.sweep(idleTimeout);
         discovery.closeSilentWatches();
         checkReady(now);
         lastSweepAt = now;
-        int mayResume = limits.isMemoryFull() ? 0 : limits.remainingMessages(); // guards against all of them at once
+        int sessionsToResume = limits.isMemoryFull() ? 0 : limits.remainingMessages(); // guards against all of them at once
         for (ClientSession session : new ArrayList<>(sessions)) {
-            session.sweep(now, door.settings().capabilities().connectTimeout());
-            if (mayResume > 0 && session.isPausedForMemory()) {
-                mayResume--;
+            session.sweep(now, dispatcher.settings().capabilities().connectTimeout());
+            if (sessionsToResume > 0 && session.isPausedForMemory()) {
+                sessionsToResume--;
                 session.resume();
             }
         }
-        loop.schedule(this::sweep, sweepEvery, TimeUnit.NANOSECONDS);
+        loop.schedule(this::sweep, sweepInterval, TimeUnit.NANOSECONDS);
     }
 
     private void checkReady(long now) {
-        boolean late = now - startedAt >= startupTimeout(door.settings());
-        if (!ready && (discovery.hasReceivedList() && door.outstandingProbes() == 0 || late)) {
+        boolean timedOut = now - startedAt >= startupTimeout(dispatcher.settings());
+        if (!ready && (discovery.hasReceivedList() && dispatcher.outstandingProbes() == 0 || timedOut)) {
             ready = true;
-            waitingForReady.forEach(Runnable::run);
-            waitingForReady.clear();
+            readinessCallbacks.forEach(Runnable::run);
+            readinessCallbacks.clear();
         }
     }
 
@@ -152,11 +152,11 @@
     }
 
     /** Runs it at once, or when this gateway has heard enough to decide. */
-    void whenReady(Runnable then) {
+    void whenReady(Runnable callback) {
         if (ready) {
-            then.run();
+            callback.run();
         } else {
-            waitingForReady.add(then);
+            readinessCallbacks.add(callback);
         }
     }
 
@@ -172,7 +172,7 @@
         } catch (IOException | RuntimeException e) {
             return submitToEventLoop(() -> {
                 counters.add("reload.unfit");
-                door.log("a new configuration cannot be used, the running one stays: " + e.getMessage());
+                dispatcher.log("a new configuration cannot be used, the running one stays: " + e.getMessage());
                 return false;
             });
         }
@@ -182,43 +182,43 @@
     public CompletableFuture<Boolean> reload(Configuration next) {
         return submitToEventLoop(() -> {
             counters.add("reload");
-            if (!next.discovery().equals(listFrom)) {
-                listFrom = next.discovery();
+            if (!next.discovery().equals(discoveryAddress)) {
+                discoveryAddress = next.discovery();
                 counters.add("discovery.moves");
-                discovery.moveTo(listFrom);
+                discovery.moveTo(discoveryAddress);
             }
-            String unlike = configuration.changesNeedingRestart(next);
-            if (!unlike.isEmpty()) {
+            String unchangeable = configuration.changesNeedingRestart(next);
+            if (!unchangeable.isEmpty()) {
                 counters.add("reload.restart");
-                door.log("the new configuration has another " + unlike + ": that needs a restart and is passed over");
+                dispatcher.log("the new configuration has another " + unchangeable + ": that needs a restart and is passed over");
             }
-            return unlike.isEmpty();
+            return unchangeable.isEmpty();
         });
     }
 
     /** Has a change to its parts made on its own thread; false once it has stopped. */
-    public CompletableFuture<Boolean> runOnEventLoop(Runnable made) {
+    public CompletableFuture<Boolean> runOnEventLoop(Runnable change) {
         return submitToEventLoop(() -> {
-            made.run();
+            change.run();
             return true;
         });
     }
 
     /** False, and nothing is run, once this gateway has stopped. */
     private CompletableFuture<Boolean> submitToEventLoop(Supplier<Boolean> change) {
-        CompletableFuture<Boolean> done = new CompletableFuture<>();
+        CompletableFuture<Boolean> result = new CompletableFuture<>();
         try {
-            loop.execute(() -> done.complete(change.get()));
+            loop.execute(() -> result.complete(change.get()));
         } catch (RejectedExecutionException e) {
-            done.complete(false); // the loop has ended: there is nothing left to change
+            result.complete(false); // the loop has ended: there is nothing left to change
         }
-        return done;
+        return result;
     }
 
     /** The table of that name, its column names first; null where there is none. Read on the event loop. */
-    List<String[]> showTable(String what) {
-        if (!what.equals("discovery")) {
-            return door.showTable(what);
+    List<String[]> showTable(String name) {
+        if (!name.equals("discovery")) {
+            return dispatcher.showTable(name);
         }
         List<String[]> rows = new ArrayList<>(discovery.statusRows());
         rows.add(0, new String[] {"source", "state", "told", "in_force", "heard_ms_ago"});
@@ -233,17 +233,17 @@
 
     void sessionOpened(ClientSession session) {
         sessions.add(session);
-        unused.add(session);
+        unusedSessions.add(session);
         if (limits.clientOpened()) {
-            ClientSession least = sessionToClose();
-            closeToFreeDescriptor(least != null ? least : first(unused), session);
+            ClientSession candidate = sessionToClose();
+            closeToFreeDescriptor(candidate != null ? candidate : firstOf(unusedSessions), session);
         }
         updateAccepting();
     }
 
     /** It has sent its startup. */
     void startupReceived(ClientSession session) {
-        spoken.add(session);
+        startedSessions.add(session);
         closeExcessSessions(session);
     }
 
@@ -251,10 +251,10 @@
      * Guards against clients that open a connection for each RPC and leave it open: they fill the share of the
      * descriptors that a front allows itself, and it turns RPCs away while nearly all its connections stand free here.
      */
-    private void closeExcessSessions(ClientSession but) {
+    private void closeExcessSessions(ClientSession keep) {
         boolean closed = true;
-        while (closed && spoken.size() > limits.startedSessionsSoftLimit) {
-            closed = closeToFreeDescriptor(sessionToClose(), but);
+        while (closed && startedSessions.size() > limits.startedSessionsSoftLimit) {
+            closed = closeToFreeDescriptor(sessionToClose(), keep);
         }
     }
 
@@ -263,32 +263,32 @@
      * longest free. One that has just come is neither: its first statement may lie unread, and it would come again.
      */
     private ClientSession sessionToClose() {
-        ClientSession oldest = first(unused);
-        boolean silent = oldest != null && clock.now() - oldest.connectedAt() >= door.settings().capabilities().connectTimeout();
-        return silent ? oldest : first(free);
+        ClientSession oldest = firstOf(unusedSessions);
+        boolean silent = oldest != null && clock.now() - oldest.connectedAt() >= dispatcher.settings().capabilities().connectTimeout();
+        return silent ? oldest : firstOf(idleSessions);
     }
 
-    private static ClientSession first(Set<ClientSession> of) {
-        return of.isEmpty() ? null : of.iterator().next();
+    private static ClientSession firstOf(Set<ClientSession> ordered) {
+        return ordered.isEmpty() ? null : ordered.iterator().next();
     }
 
-    private boolean closeToFreeDescriptor(ClientSession goes, ClientSession but) {
-        if (goes == null || goes == but) {
+    private boolean closeToFreeDescriptor(ClientSession session, ClientSession keep) {
+        if (session == null || session == keep) {
             return false;
         }
         counters.add("client.closed.room");
-        spoken.remove(goes);
-        unused.remove(goes);
-        free.remove(goes);
-        goes.closeAfterFlush();
+        startedSessions.remove(session);
+        unusedSessions.remove(session);
+        idleSessions.remove(session);
+        session.closeAfterFlush();
         return true;
     }
 
     void sessionClosed(ClientSession session) {
         sessions.remove(session);
-        spoken.remove(session);
-        unused.remove(session);
-        free.remove(session);
+        startedSessions.remove(session);
+        unusedSessions.remove(session);
+        idleSessions.remove(session);
         limits.clientClosed();
         updateAccepting();
         if (stopping) {
@@ -298,7 +298,7 @@
 
     /** It has sent something behind its startup. */
     void commandReceived(ClientSession session) {
-        unused.remove(session);
+        unusedSessions.remove(session);
     }
 
     long lastSweepAt() {
@@ -315,10 +315,10 @@
         }
     }
 
-    void setIdle(ClientSession session, boolean isFree) {
-        free.remove(session);
-        if (isFree && sessions.contains(session) && !unused.contains(session)) {
-            free.add(session);
+    void setIdle(ClientSession session, boolean isIdle) {
+        idleSessions.remove(session);
+        if (isIdle && sessions.contains(session) && !unusedSessions.contains(session)) {
+            idleSessions.add(session);
             closeExcessSessions(session);
         }
     }
@@ -341,17 +341,17 @@
             return stopped;
         }
         loop.execute(() -> {
-            if (stopBegan) {
+            if (stopRequested) {
                 return;
             }
-            stopBegan = true;
-            List<Method> methods = door.settings().methods();
-            long end = Shutdown.maxDurationNanos(methods.stream().mapToLong(Method::deadline).max().orElse(0));
-            long soft = methods.stream().mapToLong(Method::softDeadline).min().orElse(0);
-            door.answerAllBy(clock.now() + end - sweepEvery);
+            stopRequested = true;
+            List<Method> methods = dispatcher.settings().methods();
+            long killDeadline = Shutdown.maxDurationNanos(methods.stream().mapToLong(Method::deadline).max().orElse(0));
+            long shortestSoftDeadline = methods.stream().mapToLong(Method::softDeadline).min().orElse(0);
+            dispatcher.answerAllBy(clock.now() + killDeadline - sweepInterval);
             loop.schedule(this::stopAccepting, Shutdown.ACCEPT_NANOS, TimeUnit.NANOSECONDS);
-            loop.schedule(this::drainSessions, Math.max(Shutdown.ACCEPT_NANOS, end - soft), TimeUnit.NANOSECONDS);
-            loop.schedule(this::terminate, end, TimeUnit.NANOSECONDS);
+            loop.schedule(this::drainSessions, Math.max(Shutdown.ACCEPT_NANOS, killDeadline - shortestSoftDeadline), TimeUnit.NANOSECONDS);
+            loop.schedule(this::terminate, killDeadline, TimeUnit.NANOSECONDS);
         });
         return stopped;
     }
@@ -362,9 +362,9 @@
         stopping = true;
         if (listener != null) {
             listener.config().setAutoRead(true);
-            loop.schedule(() -> listener.close(), sweepEvery, TimeUnit.NANOSECONDS);
+            loop.schedule(() -> listener.close(), sweepInterval, TimeUnit.NANOSECONDS);
         }
-        loop.schedule(this::checkStopped, sweepEvery, TimeUnit.NANOSECONDS);
+        loop.schedule(this::checkStopped, sweepInterval, TimeUnit.NANOSECONDS);
     }
 
     /** Ends at once, whatever is in hand. */
@@ -379,7 +379,7 @@
     }
 
     private void checkStopped() {
-        if (sessions.isEmpty() && door.inFlight() == 0) {
+        if (sessions.isEmpty() && dispatcher.inFlight() == 0) {
             terminate();
         }
     }
@@ -389,7 +389,7 @@
             return;
         }
         discovery.close();
-        door.close();
+        dispatcher.close();
         if (listener != null) {
             listener.close();
         }
@@ -402,9 +402,9 @@
     public CompletableFuture<Map<String, Long>> counters() {
         CompletableFuture<Map<String, Long>> all = new CompletableFuture<>();
         if (loop.isShuttingDown()) {
-            all.complete(door.allCounters());
+            all.complete(dispatcher.allCounters());
         } else {
-            loop.execute(() -> all.complete(door.allCounters()));
+            loop.execute(() -> all.complete(dispatcher.allCounters()));
         }
         return all;
     }
--- a/src/main/java/reedquay/net/Limits.java
+++ b/src/main/java/reedquay/net/Limits.java
@@ -18,15 +18,15 @@
     private int openMemberConnections;
     private final long maxHeldBytes;
     private long heldBytes;
-    private long partial;
+    private long partialBytes;
 
     Limits(int sockets, int memoryMb) {
         maxHeldBytes = memoryMb * 1024L * 1024 / 8;
-        int ours = Math.max(16, sockets - RESERVED_DESCRIPTORS);
-        maxClients = ours * 5 / 8;
+        int available = Math.max(16, sockets - RESERVED_DESCRIPTORS);
+        maxClients = available * 5 / 8;
         clientsSoftLimit = maxClients * 7 / 8;
         startedSessionsSoftLimit = Math.min(maxClients, sockets / 3) * 7 / 8;
-        maxMemberConnections = ours - maxClients;
+        maxMemberConnections = available - maxClients;
         maxQueuedBytes = (int) Math.min(2 * MAX_MESSAGE_BYTES, maxHeldBytes / maxClients);
     }
 
@@ -54,16 +54,16 @@
 
     /** Counts the bytes of clients' messages that are not whole yet. */
     void addPartialBytes(int bytes) {
-        partial += bytes;
+        partialBytes += bytes;
     }
 
     /** Guards the memory told against messages that are begun and never ended. */
     boolean isPartialMemoryFull() {
-        return partial > maxHeldBytes;
+        return partialBytes > maxHeldBytes;
     }
 
     long partialBytes() {
-        return partial;
+        return partialBytes;
     }
 
     static int memoryCost(Frame frame) {
@@ -72,7 +72,7 @@
 
     /** How many further messages there is room for, one at least. */
     int remainingMessages() {
-        return (int) Math.max(1, (maxHeldBytes - heldBytes - partial) / MAX_MESSAGE_BYTES);
+        return (int) Math.max(1, (maxHeldBytes - heldBytes - partialBytes) / MAX_MESSAGE_BYTES);
     }
 
     long heldBytes() {
--- a/src/main/java/reedquay/net/MemberConnection.java
+++ b/src/main/java/reedquay/net/MemberConnection.java
@@ -18,11 +18,11 @@
 final class MemberConnection extends ChannelInboundHandlerAdapter {
     enum State { OPENING, SETTLING, IDLE, RESERVED, BUSY, CLOSED }
 
-    private static final String ANSWER = "TDC"; // row description, row, completion: an answer is these, once each
+    private static final String RESULT_TYPES = "TDC"; // row description, row, completion: an answer is these, once each
 
     /** What came back for a send, up to ReadyForQuery. */
     static final class Response {
-        final List<Frame> frames = new ArrayList<>(ANSWER.length());
+        final List<Frame> frames = new ArrayList<>(RESULT_TYPES.length());
         String sqlState; // its SQLSTATE
         Role role = Role.UNKNOWN;
         long positionMillis;
@@ -30,7 +30,7 @@
         String loadReport;
 
         boolean isComplete() {
-            return frames.size() == ANSWER.length();
+            return frames.size() == RESULT_TYPES.length();
         }
 
         void release() {
@@ -39,7 +39,7 @@
         }
     }
 
-    private final Dispatcher door;
+    private final Dispatcher dispatcher;
     final Pool pool;
     final long openedAt;
     final FrameDecoder decoder = FrameDecoder.forServer(Limits.MAX_MESSAGE_BYTES);
@@ -47,14 +47,14 @@
     long idleSince;
     MemberRequest request;
     private Channel channel;
-    private Response answer = new Response();
+    private Response response = new Response();
     private boolean written;
-    private boolean spoilt;
-    private boolean used, kept; // kept: it has carried a statement before this one
-    private Outcome whyNot = Outcome.NO_CONNECTION; // what waits for this connection gets if it never comes up
+    private boolean malformed;
+    private boolean carriedRequest, reused; // kept: it has carried a statement before this one
+    private Outcome openFailure = Outcome.NO_CONNECTION; // what waits for this connection gets if it never comes up
 
-    MemberConnection(Dispatcher door, Pool pool, long openedAt) {
-        this.door = door;
+    MemberConnection(Dispatcher dispatcher, Pool pool, long openedAt) {
+        this.dispatcher = dispatcher;
         this.pool = pool;
         this.openedAt = openedAt;
     }
@@ -68,21 +68,21 @@
     }
 
     /** Sends the query of a send that has this connection to itself from here on. */
-    void send(MemberRequest next) {
-        door.counters.check(state == State.IDLE || state == State.RESERVED, "one send at a time on a connection");
-        kept = used;
-        used = true;
+    void send(MemberRequest newRequest) {
+        dispatcher.counters.check(state == State.IDLE || state == State.RESERVED, "one send at a time on a connection");
+        reused = carriedRequest;
+        carriedRequest = true;
         state = State.BUSY;
-        request = next;
-        next.connection = this;
+        request = newRequest;
+        newRequest.connection = this;
         written = false;
-        answer = new Response();
-        if (next.callOut != null) {
-            next.callOut.awaitingConnection = false;
+        response = new Response();
+        if (newRequest.callOut != null) {
+            newRequest.callOut.awaitingConnection = false;
         }
-        ByteBuf query = next.callOut == null ? door.buildProbeQuery(channel.alloc())
-                : door.buildQuery(next, channel.alloc());
-        channel.writeAndFlush(query).addListener(f -> written |= request == next && f.isSuccess());
+        ByteBuf query = newRequest.callOut == null ? dispatcher.buildProbeQuery(channel.alloc())
+                : dispatcher.buildQuery(newRequest, channel.alloc());
+        channel.writeAndFlush(query).addListener(f -> written |= request == newRequest && f.isSuccess());
         if (!channel.isActive()) {
             handleClosed();
         }
@@ -90,7 +90,7 @@
 
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         Frame frame = (Frame) message;
-        boolean kept = false;
+        boolean retained = false;
         try {
             if (state == State.CLOSED) {
                 return; // what stood behind the breach
@@ -98,13 +98,13 @@
             switch (frame.type) {
                 case 'T', 'D', 'C' -> {
                     // guards against passing on what no member made: nothing is left out, twice, or out of its order
-                    if (state != State.BUSY || answer.sqlState != null || answer.isComplete()
-                            || ANSWER.charAt(answer.frames.size()) != frame.type || !frame.isWellFormed()) {
+                    if (state != State.BUSY || response.sqlState != null || response.isComplete()
+                            || RESULT_TYPES.charAt(response.frames.size()) != frame.type || !frame.isWellFormed()) {
                         protocolViolation("an answer that is spoilt, or that nothing asked for");
                         return;
                     }
-                    answer.frames.add(frame);
-                    kept = true;
+                    response.frames.add(frame);
+                    retained = true;
                 }
                 case 'E' -> handleError(frame);
                 case 'S', 'N' -> {
@@ -124,7 +124,7 @@
                 default -> protocolViolation("a message that answers no simple query");
             }
         } finally {
-            if (!kept) {
+            if (!retained) {
                 frame.release();
             }
         }
@@ -133,14 +133,14 @@
     private void handleError(Frame frame) {
         String code = frame.isWellFormed() ? frame.errorFields().getOrDefault('C', "") : "";
         if (state == State.OPENING) {
-            whyNot = code.equals("53300") ? Outcome.FULL : Outcome.NO_CONNECTION;
+            openFailure = code.equals("53300") ? Outcome.FULL : Outcome.NO_CONNECTION;
             channel.close();
         } else if (state != State.BUSY) {
             close(); // it says why it is about to close
-        } else if (code.isEmpty() || answer.sqlState != null || answer.isComplete()) {
+        } else if (code.isEmpty() || response.sqlState != null || response.isComplete()) {
             protocolViolation("an error that is spoilt");
         } else {
-            answer.sqlState = code;
+            response.sqlState = code;
         }
     }
 
@@ -148,17 +148,17 @@
         String name = frame.stringAt(0);
         String value = frame.stringAt(name.length() + 1);
         if (name.equals("node_role")) {
-            answer.role = value.equals("leader") ? Role.PRIMARY : value.equals("follower") ? Role.REPLICA
+            response.role = value.equals("leader") ? Role.PRIMARY : value.equals("follower") ? Role.REPLICA
                     : Role.UNKNOWN;
         } else if (name.equals("replay_position")) {
             try {
-                answer.positionMillis = Long.parseLong(value.strip());
-                answer.hasPosition = door.isPlausiblePosition(answer.positionMillis);
+                response.positionMillis = Long.parseLong(value.strip());
+                response.hasPosition = dispatcher.isPlausiblePosition(response.positionMillis);
             } catch (NumberFormatException e) {
-                door.counters.add("member.position.unreadable");
+                dispatcher.counters.add("member.position.unreadable");
             }
         } else if (name.equals("server_load")) {
-            answer.loadReport = value;
+            response.loadReport = value;
         }
     }
 
@@ -167,17 +167,17 @@
             pool.connectionOpened();
             settlingEnded();
         } else if (state == State.BUSY) {
-            if (!answer.isComplete() && answer.sqlState == null) {
+            if (!response.isComplete() && response.sqlState == null) {
                 protocolViolation("ready for a query without an answer to the last one");
                 return;
             }
             MemberRequest finished = request;
-            Response whole = answer;
-            answer = new Response();
+            Response completeResponse = response;
+            response = new Response();
             request = null;
             state = State.SETTLING;
-            door.responseReceived(finished, whole);
-            door.startSettling(this);
+            dispatcher.responseReceived(finished, completeResponse);
+            dispatcher.startSettling(this);
         } else {
             protocolViolation("ready for a query twice");
         }
@@ -196,7 +196,7 @@
             return;
         }
         state = State.IDLE;
-        idleSince = door.clock.now();
+        idleSince = dispatcher.clock.now();
         pool.connectionReady(this);
     }
 
@@ -205,10 +205,10 @@
         return !decoder.hasPartialMessage();
     }
 
-    private void protocolViolation(String what) {
-        door.counters.add("member.breach");
-        door.logOnce("a member sent what the protocol does not allow: " + what);
-        spoilt = state == State.BUSY; // it has run: nothing of it is passed on or believed
+    private void protocolViolation(String violation) {
+        dispatcher.counters.add("member.breach");
+        dispatcher.logOnce("a member sent what the protocol does not allow: " + violation);
+        malformed = state == State.BUSY; // it has run: nothing of it is passed on or believed
         channel.close();
         handleClosed();
     }
@@ -219,27 +219,27 @@
 
     /** The connection is gone, whoever ended it. */
     private void handleClosed() {
-        State before = state;
-        if (before == State.CLOSED) {
+        State previous = state;
+        if (previous == State.CLOSED) {
             return;
         }
         state = State.CLOSED;
-        MemberRequest broken = request;
-        Response last = answer;
+        MemberRequest interrupted = request;
+        Response lastResponse = response;
         request = null;
-        answer = null;
-        door.limits.memberConnectionClosed();
-        pool.connectionClosed(this, before, whyNot);
-        if (broken != null && !spoilt && (last.isComplete() || last.sqlState != null)) {
-            door.responseReceived(broken, last); // whole, though no ReadyForQuery came
+        response = null;
+        dispatcher.limits.memberConnectionClosed();
+        pool.connectionClosed(this, previous, openFailure);
+        if (interrupted != null && !malformed && (lastResponse.isComplete() || lastResponse.sqlState != null)) {
+            dispatcher.responseReceived(interrupted, lastResponse); // whole, though no ReadyForQuery came
             return;
         }
-        last.release();
-        if (broken != null) {
+        lastResponse.release();
+        if (interrupted != null) {
             // guards against calling unsent what was written: unsure counts as may have run; and against holding it
             // against a member that a connection kept to it was of no more use: a dead process refuses the next one
-            door.requestFailed(broken, spoilt ? Outcome.SPOILT : !written ? Outcome.NO_CONNECTION
-                    : kept ? Outcome.STALE : Outcome.RESET);
+            dispatcher.requestFailed(interrupted, malformed ? Outcome.SPOILT : !written ? Outcome.NO_CONNECTION
+                    : reused ? Outcome.STALE : Outcome.RESET);
         }
     }
 
@@ -265,16 +265,16 @@
     }
 
     /** The load report that a probe or an answer brought. */
-    static LoadReport parseLoadReport(Dispatcher door, Response answer, boolean fromRow) {
-        String text = answer.loadReport;
-        if (fromRow && answer.frames.size() == 3) {
-            Frame row = answer.frames.get(1);
+    static LoadReport parseLoadReport(Dispatcher dispatcher, Response response, boolean fromRow) {
+        String text = response.loadReport;
+        if (fromRow && response.frames.size() == 3) {
+            Frame row = response.frames.get(1);
             text = row.type == 'D' && row.bodyLength() > 6 ? row.stringAt(6) : text;
         }
         try {
-            return text == null ? LoadReport.NONE : door.reports.parsePairs(text);
+            return text == null ? LoadReport.NONE : dispatcher.reports.parsePairs(text);
         } catch (NumberFormatException | ArithmeticException e) {
-            door.counters.add("member.report.unreadable");
+            dispatcher.counters.add("member.report.unreadable");
             return LoadReport.NONE;
         }
     }
--- a/src/main/java/reedquay/net/MonotonicClock.java
+++ b/src/main/java/reedquay/net/MonotonicClock.java
@@ -4,11 +4,11 @@
 
 /** Unix time in nanoseconds that never goes back: the monotonic clock, led slowly after the wall's. */
 public class MonotonicClock {
-    private static final long JUMP = 1_000_000_000; // a wall clock so far ahead was set: follow at once
-    private long offset = wall() - System.nanoTime();
+    private static final long STEP_THRESHOLD_NANOS = 1_000_000_000; // a wall clock so far ahead was set: follow at once
+    private long offset = wallTime() - System.nanoTime();
     private long last;
 
-    private static long wall() {
+    private static long wallTime() {
         Instant now = Instant.now();
         return now.getEpochSecond() * 1_000_000_000 + now.getNano();
     }
@@ -19,8 +19,8 @@
     }
 
     /** Corrects the drift against the wall clock by at most the given step. */
-    void slewTowardsWallClock(long step) {
-        long drift = wall() - System.nanoTime() - offset;
-        offset += drift > JUMP ? drift : Math.max(-step, Math.min(step, drift));
+    void slewTowardsWallClock(long maxStep) {
+        long drift = wallTime() - System.nanoTime() - offset;
+        offset += drift > STEP_THRESHOLD_NANOS ? drift : Math.max(-maxStep, Math.min(maxStep, drift));
     }
 }
--- a/src/main/java/reedquay/net/Pool.java
+++ b/src/main/java/reedquay/net/Pool.java
@@ -15,65 +15,65 @@
 /** The connections to one member. The one used last goes out first, so that the others fall idle. */
 final class Pool {
     final Member member;
-    private final Dispatcher door;
+    private final Dispatcher dispatcher;
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
     private long startedAt;
-    private final Set<MemberConnection> all = new LinkedHashSet<>();
+    private final Set<MemberConnection> connections = new LinkedHashSet<>();
     private final ArrayDeque<MemberConnection> idle = new ArrayDeque<>();
-    private final ArrayDeque<MemberRequest> waiting = new ArrayDeque<>();
-    private int opening;
+    private final ArrayDeque<MemberRequest> pendingRequests = new ArrayDeque<>();
+    private int openingCount;
 
-    Pool(Dispatcher door, Member member, Bootstrap bootstrap) {
-        this.door = door;
+    Pool(Dispatcher dispatcher, Member member, Bootstrap bootstrap) {
+        this.dispatcher = dispatcher;
         this.member = member;
         this.bootstrap = bootstrap;
     }
 
     /** What the list says of the member's process; connections to an earlier one are of no use. */
-    void updateLocation(InetSocketAddress where, long started) {
-        if (!where.equals(address) || started > startedAt) {
+    void updateLocation(InetSocketAddress newAddress, long newStartedAt) {
+        if (!newAddress.equals(address) || newStartedAt > startedAt) {
             closeAllIdle("moved");
         }
-        address = where;
-        startedAt = Math.max(startedAt, started);
+        address = newAddress;
+        startedAt = Math.max(startedAt, newStartedAt);
     }
 
     /** Sends at once on an idle connection, else when the next one is ready. */
-    void submit(MemberRequest send) {
+    void submit(MemberRequest request) {
         MemberConnection connection = idle.pollFirst();
         while (connection != null && !connection.isClean()) { // guards against a surplus that came while it was idle
             connection.close();
             connection = idle.pollFirst();
         }
         if (connection != null) {
-            door.counters.add("member.reused");
-            connection.send(send);
+            dispatcher.counters.add("member.reused");
+            connection.send(request);
             return;
         }
-        waiting.addLast(send);
-        if (opening < waiting.size() && !openConnection()) {
-            waiting.remove(send);
-            door.counters.add("member.nodescriptor");
-            door.requestFailed(send, Outcome.NEVER_SENT);
+        pendingRequests.addLast(request);
+        if (openingCount < pendingRequests.size() && !openConnection()) {
+            pendingRequests.remove(request);
+            dispatcher.counters.add("member.nodescriptor");
+            dispatcher.requestFailed(request, Outcome.NEVER_SENT);
         }
     }
 
     private boolean openConnection() {
-        if (address == null || !door.limits.canOpenMemberConnection() && !door.closeAnyIdleConnection()) {
+        if (address == null || !dispatcher.limits.canOpenMemberConnection() && !dispatcher.closeAnyIdleConnection()) {
             return false; // no list has said where, or no descriptor is left
         }
-        door.limits.memberConnectionOpened();
-        door.counters.add("member.opened");
-        opening++;
-        MemberConnection connection = new MemberConnection(door, this, door.clock.now());
-        all.add(connection);
-        ChannelFuture up = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
+        dispatcher.limits.memberConnectionOpened();
+        dispatcher.counters.add("member.opened");
+        openingCount++;
+        MemberConnection connection = new MemberConnection(dispatcher, this, dispatcher.clock.now());
+        connections.add(connection);
+        ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
             @Override protected void initChannel(Channel channel) {
                 channel.pipeline().addLast(connection.decoder, connection);
             }
         }).connect(address);
-        up.addListener(f -> {
+        connecting.addListener(f -> {
             if (!f.isSuccess()) {
                 connection.close();
             }
@@ -82,12 +82,12 @@
     }
 
     void connectionOpened() {
-        opening--;
+        openingCount--;
     }
 
     /** A connection has come up or has become free. */
     void connectionReady(MemberConnection connection) {
-        MemberRequest next = waiting.pollFirst();
+        MemberRequest next = pendingRequests.pollFirst();
         if (next == null) {
             idle.addFirst(connection);
         } else if (next.callOut == null) {
@@ -96,66 +96,66 @@
             connection.state = MemberConnection.State.RESERVED;
             connection.request = next;
             next.connection = connection;
-            door.submitInput(d -> d.connectionReady(next.callOut));
+            dispatcher.submitInput(d -> d.connectionReady(next.callOut));
         }
     }
 
-    void connectionClosed(MemberConnection connection, MemberConnection.State before, Outcome whyNot) {
-        all.remove(connection);
+    void connectionClosed(MemberConnection connection, MemberConnection.State previous, Outcome openFailure) {
+        connections.remove(connection);
         idle.remove(connection);
-        if (before == MemberConnection.State.OPENING) {
-            opening--;
-            door.counters.add("member.unopened");
-            if (waiting.size() > opening) {
-                door.requestFailed(waiting.pollFirst(), whyNot);
+        if (previous == MemberConnection.State.OPENING) {
+            openingCount--;
+            dispatcher.counters.add("member.unopened");
+            if (pendingRequests.size() > openingCount) {
+                dispatcher.requestFailed(pendingRequests.pollFirst(), openFailure);
             }
         }
     }
 
     /** Takes back what has not been written; its connection serves another. */
-    void withdraw(MemberRequest send) {
-        MemberConnection reserved = send.connection;
+    void withdraw(MemberRequest request) {
+        MemberConnection reserved = request.connection;
         if (reserved == null) {
-            waiting.remove(send);
+            pendingRequests.remove(request);
             return;
         }
-        send.connection = null;
+        request.connection = null;
         reserved.request = null;
         reserved.state = MemberConnection.State.IDLE;
         connectionReady(reserved);
     }
 
     /** Closes the connection that has been idle longest, as long as it is one since before the given time. */
-    boolean closeOldestIdle(long before, String why) {
+    boolean closeOldestIdle(long idleBefore, String reason) {
         MemberConnection oldest = idle.peekLast();
-        if (oldest == null || oldest.idleSince >= before) {
+        if (oldest == null || oldest.idleSince >= idleBefore) {
             return false;
         }
-        door.counters.add("member.closed." + why);
+        dispatcher.counters.add("member.closed." + reason);
         oldest.close();
         return true;
     }
 
-    void closeAllIdle(String why) {
-        while (closeOldestIdle(Long.MAX_VALUE, why)) { }
+    void closeAllIdle(String reason) {
+        while (closeOldestIdle(Long.MAX_VALUE, reason)) { }
     }
 
     /** Ends what has taken too long: to come up, to answer, or without work. */
-    void sweep(long now, long connectTimeout, long idleFor) {
-        while (closeOldestIdle(now - idleFor, "idle")) { }
-        for (MemberConnection c : new ArrayList<>(all)) {
-            if (c.state == MemberConnection.State.OPENING && now - c.openedAt >= connectTimeout) {
-                c.close();
-            } else if (c.state == MemberConnection.State.BUSY && now >= c.request.deadline) {
-                MemberRequest late = c.request;
-                door.counters.add("member.closed.timeout");
-                c.abandon();
-                door.requestFailed(late, Outcome.TIMED_OUT);
+    void sweep(long now, long connectTimeout, long idleTimeout) {
+        while (closeOldestIdle(now - idleTimeout, "idle")) { }
+        for (MemberConnection connection : new ArrayList<>(connections)) {
+            if (connection.state == MemberConnection.State.OPENING && now - connection.openedAt >= connectTimeout) {
+                connection.close();
+            } else if (connection.state == MemberConnection.State.BUSY && now >= connection.request.deadline) {
+                MemberRequest timedOut = connection.request;
+                dispatcher.counters.add("member.closed.timeout");
+                connection.abandon();
+                dispatcher.requestFailed(timedOut, Outcome.TIMED_OUT);
             }
         }
     }
 
     void closeAll() {
-        new ArrayList<>(all).forEach(MemberConnection::close);
+        new ArrayList<>(connections).forEach(MemberConnection::close);
     }
 }
--- a/src/main/java/reedquay/net/Statement.java
+++ b/src/main/java/reedquay/net/Statement.java
@@ -26,10 +26,10 @@
         }
     }
 
-    private static final int MOST_DIGITS = 9; // of the time to wait: eleven days
-    private static final int MOST_HEAD = 1024;
+    private static final int MAX_NUMBER_DIGITS = 9; // of the time to wait: eleven days
+    private static final int MAX_COMMENT_BYTES = 1024;
     private static final Pattern TOKEN = Pattern.compile("[0-9A-Za-z_-]{1,64}");
-    private static final List<String> WRITES = List.of("INSERT", "UPDATE", "DELETE");
+    private static final List<String> WRITE_VERBS = List.of("INSERT", "UPDATE", "DELETE");
 
     final Frame frame;
     final long id;
@@ -42,33 +42,33 @@
     /** The position that a read must see, in Unix milliseconds; 0 where there is none. */
     final long minPositionMillis;
     private final String token;
-    private final int sql; // where the comment has ended
-    private final int digitsFrom;
-    private final int digitsTo;
+    private final int sqlOffset; // where the comment has ended
+    private final int waitDigitsStart;
+    private final int waitDigitsEnd;
 
     /** Borrows the frame: whoever made the statement releases it. */
     Statement(Frame frame) throws InvalidStatementException {
         this.frame = frame;
-        ByteBuf all = frame.content();
-        int head = Math.min(frame.bodyLength(), MOST_HEAD);
-        String text = all.toString(frame.bodyStart(), head, StandardCharsets.ISO_8859_1);
+        ByteBuf content = frame.content();
+        int prefixLength = Math.min(frame.bodyLength(), MAX_COMMENT_BYTES);
+        String text = content.toString(frame.bodyStart(), prefixLength, StandardCharsets.ISO_8859_1);
         int end = text.startsWith("/*") ? text.indexOf("*/") : -1;
         if (end < 0) {
             throw new InvalidStatementException("expected a leading comment with id, c, d and cluster");
         }
         Map<String, String> fields = new HashMap<>();
-        int from = 0;
-        int to = 0;
-        int at = 2;
-        while (at < end) {
-            int comma = text.indexOf(',', at);
-            int stop = comma < 0 || comma > end ? end : comma;
-            int eq = text.indexOf('=', at);
-            if (eq <= at || eq >= stop) {
+        int digitsStart = 0;
+        int digitsEnd = 0;
+        int fieldStart = 2;
+        while (fieldStart < end) {
+            int comma = text.indexOf(',', fieldStart);
+            int fieldEnd = comma < 0 || comma > end ? end : comma;
+            int equalsSign = text.indexOf('=', fieldStart);
+            if (equalsSign <= fieldStart || equalsSign >= fieldEnd) {
                 throw new InvalidStatementException("expected names and values in the comment");
             }
-            String name = text.substring(at, eq).strip();
-            String value = text.substring(eq + 1, stop).strip();
+            String name = text.substring(fieldStart, equalsSign).strip();
+            String value = text.substring(equalsSign + 1, fieldEnd).strip();
             if (!value.chars().allMatch(c -> c > ' ' && c <= '~')) {
                 throw new InvalidStatementException("expected plain values in the comment");
             }
@@ -76,104 +76,104 @@
                 throw new InvalidStatementException("the comment names a field twice");
             }
             if (name.equals("d")) {
-                from = text.indexOf(value, eq + 1);
-                to = from + value.length();
+                digitsStart = text.indexOf(value, equalsSign + 1);
+                digitsEnd = digitsStart + value.length();
             }
-            at = stop + 1;
+            fieldStart = fieldEnd + 1;
         }
-        digitsFrom = from;
-        digitsTo = to;
-        id = hex(fields.get("id"));
-        method = needed(fields, "c");
+        waitDigitsStart = digitsStart;
+        waitDigitsEnd = digitsEnd;
+        id = parseId(fields.get("id"));
+        method = requiredField(fields, "c");
         tenant = fields.get("t");
-        waitMillis = number(needed(fields, "d"), "d");
+        waitMillis = parseNumber(requiredField(fields, "d"), "d");
         if (waitMillis == 0) {
             throw new InvalidStatementException("expected a time to wait above 0 in d");
         }
-        group = (int) number(needed(fields, "cluster"), "cluster");
+        group = (int) parseNumber(requiredField(fields, "cluster"), "cluster");
         retry = "1".equals(fields.getOrDefault("r", "0"));
         if (!retry && !fields.getOrDefault("r", "0").equals("0")) {
             throw new InvalidStatementException("expected 0 or 1 in r");
         }
-        String sees = fields.get("after");
-        minPositionMillis = sees == null ? 0 : position(sees);
+        String minPosition = fields.get("after");
+        minPositionMillis = minPosition == null ? 0 : parsePosition(minPosition);
         token = fields.get("k");
         if (token != null && !TOKEN.matcher(token).matches()) {
             throw new InvalidStatementException("expected a short plain token in k");
         }
-        sql = end + 2;
-        session = single();
+        sqlOffset = end + 2;
+        session = parseSingleStatement();
     }
 
     /**
      * What a member would close its connection on, whatever waits there, is found here: bytes that are no text, more
      * or less than one statement, a quote that does not end, no key. Returns the key, the first text in quotes.
      */
-    private String single() throws InvalidStatementException {
-        ByteBuf all = frame.content();
-        int from = frame.bodyStart() + sql;
-        int end = all.writerIndex() - 1;
-        if (end < from || all.getByte(end) != 0) {
+    private String parseSingleStatement() throws InvalidStatementException {
+        ByteBuf content = frame.content();
+        int start = frame.bodyStart() + sqlOffset;
+        int end = content.writerIndex() - 1;
+        if (end < start || content.getByte(end) != 0) {
             throw new InvalidStatementException("expected a statement that ends with a zero byte");
         }
         Scan scan = new Scan();
-        boolean fit = all.forEachByte(from, end - from, scan) < 0;
-        boolean is = fit ? scan.ascii || ByteBufUtil.isText(all, from, end - from, StandardCharsets.UTF_8) : scan.ended;
-        if (!is) {
+        boolean complete = content.forEachByte(start, end - start, scan) < 0;
+        boolean isText = complete ? scan.ascii || ByteBufUtil.isText(content, start, end - start, StandardCharsets.UTF_8) : scan.ended;
+        if (!isText) {
             throw new InvalidStatementException("expected text");
-        } else if (!fit) {
+        } else if (!complete) {
             throw new InvalidStatementException("expected a single statement");
-        } else if (scan.quoted || scan.close < 0) {
+        } else if (scan.quoted || scan.keyEnd < 0) {
             throw new InvalidStatementException("expected a key in quotes");
         }
-        return all.toString(from + scan.open, scan.close - scan.open, StandardCharsets.UTF_8);
+        return content.toString(start + scan.keyStart, scan.keyEnd - scan.keyStart, StandardCharsets.UTF_8);
     }
 
     /** One pass over a statement's bytes; stops where a byte is no text, or comes behind the statement's end. */
     private static final class Scan implements ByteProcessor {
         boolean quoted, ended, ascii = true;
-        int open = -1; // where the first text in quotes begins
-        int close = -1;
-        private int at = -1;
+        int keyStart = -1; // where the first text in quotes begins
+        int keyEnd = -1;
+        private int offset = -1;
 
-        @Override public boolean process(byte b) {
-            at++;
-            ascii &= b >= 0;
-            if (b >= 0 && b < ' ' && b != '\t' && b != '\n' && b != '\r') {
+        @Override public boolean process(byte character) {
+            offset++;
+            ascii &= character >= 0;
+            if (character >= 0 && character < ' ' && character != '\t' && character != '\n' && character != '\r') {
                 ended = false;
                 return false;
             }
-            if (ended && b > ' ') {
+            if (ended && character > ' ') {
                 return false;
             }
-            if (b == '\'') {
+            if (character == '\'') {
                 quoted = !quoted;
-                open = open < 0 ? at + 1 : open;
-                close = !quoted && close < 0 ? at : close;
+                keyStart = keyStart < 0 ? offset + 1 : keyStart;
+                keyEnd = !quoted && keyEnd < 0 ? offset : keyEnd;
             }
-            ended |= !quoted && b == ';';
+            ended |= !quoted && character == ';';
             return true;
         }
     }
 
     /** Whether it is what calls of this method are. */
-    void validateFor(Method called) throws InvalidStatementException {
-        ByteBuf all = frame.content();
-        int from = frame.bodyStart() + sql;
-        while (all.getByte(from) <= ' ' && all.getByte(from) > 0) {
-            from++;
-        }
-        int length = Math.min(6, all.writerIndex() - from);
-        String verb = all.toString(from, length, StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
-        if (called.consistency() == Method.Consistency.WRITE ? !WRITES.contains(verb) : !verb.equals("SELECT")) {
+    void validateFor(Method method) throws InvalidStatementException {
+        ByteBuf content = frame.content();
+        int start = frame.bodyStart() + sqlOffset;
+        while (content.getByte(start) <= ' ' && content.getByte(start) > 0) {
+            start++;
+        }
+        int length = Math.min(6, content.writerIndex() - start);
+        String verb = content.toString(start, length, StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
+        if (method.consistency() == Method.Consistency.WRITE ? !WRITE_VERBS.contains(verb) : !verb.equals("SELECT")) {
             throw new InvalidStatementException("the statement is not of its class");
         }
-        if (called.retrySafety() == Method.RetrySafety.TOKENED && token == null) {
+        if (method.retrySafety() == Method.RetrySafety.TOKENED && token == null) {
             throw new InvalidStatementException("expected k in the leading comment");
         }
     }
 
-    private static String needed(Map<String, String> fields, String name) throws InvalidStatementException {
+    private static String requiredField(Map<String, String> fields, String name) throws InvalidStatementException {
         String value = fields.get(name);
         if (value == null || value.isEmpty()) {
             throw new InvalidStatementException("expected " + name + " in the leading comment");
@@ -181,7 +181,7 @@
         return value;
     }
 
-    private static long hex(String text) throws InvalidStatementException {
+    private static long parseId(String text) throws InvalidStatementException {
         if (text == null || text.isEmpty() || text.length() > 16
                 || !text.chars().allMatch(HexFormat::isHexDigit)) {
             throw new InvalidStatementException("expected up to 16 hex digits in id");
@@ -189,14 +189,14 @@
         return Long.parseUnsignedLong(text, 16);
     }
 
-    private static long number(String text, String name) throws InvalidStatementException {
-        if (text.isEmpty() || text.length() > MOST_DIGITS || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new InvalidStatementException("expected a number of at most " + MOST_DIGITS + " digits in " + name);
+    private static long parseNumber(String text, String name) throws InvalidStatementException {
+        if (text.isEmpty() || text.length() > MAX_NUMBER_DIGITS || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
+            throw new InvalidStatementException("expected a number of at most " + MAX_NUMBER_DIGITS + " digits in " + name);
         }
         return Long.parseLong(text);
     }
 
-    private static long position(String text) throws InvalidStatementException {
+    private static long parsePosition(String text) throws InvalidStatementException {
         if (text.isEmpty() || text.length() > 15 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new InvalidStatementException("expected a position in Unix milliseconds in after");
         }
@@ -205,6 +205,6 @@
 
     /** The statement as it goes to a member: the bytes that came, but for how long this side will wait. */
     ByteBuf queryForMember(ByteBufAllocator allocator, long millis) {
-        return Messages.query(allocator, frame, digitsFrom, digitsTo, millis);
+        return Messages.query(allocator, frame, waitDigitsStart, waitDigitsEnd, millis);
     }
 }
--- a/src/main/java/reedquay/net/Trace.java
+++ b/src/main/java/reedquay/net/Trace.java
@@ -43,9 +43,9 @@
     }
 
     /** why: what the decisions went by, asked only where it is wanted. */
-    void rpcEnded(Rpc rpc, String how, String why) {
+    void rpcEnded(Rpc rpc, String outcome, String reason) {
         if (enabled) {
-            line(id(rpc) + " " + how + (why.isEmpty() ? "" : ": " + why));
+            line(id(rpc) + " " + outcome + (reason.isEmpty() ? "" : ": " + reason));
         }
     }
 
--- a/src/main/java/reedquay/net/WarmUp.java
+++ b/src/main/java/reedquay/net/WarmUp.java
@@ -43,7 +43,7 @@
      * counters of the gateway that rehearsed.
      */
     public static Map<String, Long> run(String config) throws IOException {
-        JsonObject all = JsonParser.parseString(config).getAsJsonObject();
+        JsonObject root = JsonParser.parseString(config).getAsJsonObject();
         String host = Configuration.parse(config).listen().getAddress().getHostAddress();
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try {
@@ -57,12 +57,12 @@
                 member.addProperty("role", primary ? "leader" : "follower");
                 members.add(member);
             }
-            JsonObject known = new JsonObject();
-            known.add("instances", members);
-            all.add("known", known);
-            all.addProperty("listen", host + ":0");
-            all.addProperty("discovery", members.get(0).getAsJsonObject().get("hostPort").getAsString());
-            Configuration configuration = Configuration.parse(all.toString());
+            JsonObject memberList = new JsonObject();
+            memberList.add("instances", members);
+            root.add("known", memberList);
+            root.addProperty("listen", host + ":0");
+            root.addProperty("discovery", members.get(0).getAsJsonObject().get("hostPort").getAsString());
+            Configuration configuration = Configuration.parse(root.toString());
             Gateway gateway = new Gateway(configuration);
             try {
                 sendRpcs(gateway.start().join(), configuration.settings().readSettings(0));
@@ -75,12 +75,12 @@
         }
     }
 
-    private static void sendRpcs(InetSocketAddress at, Settings settings) throws IOException {
+    private static void sendRpcs(InetSocketAddress gatewayAddress, Settings settings) throws IOException {
         long end = System.nanoTime() + Gateway.startupTimeout(settings);
         List<Socket> clients = new ArrayList<>();
         try {
             for (int i = 0; i < CLIENTS; i++) {
-                Socket client = new Socket(at.getAddress(), at.getPort());
+                Socket client = new Socket(gatewayAddress.getAddress(), gatewayAddress.getPort());
                 client.setSoTimeout((int) (Gateway.startupTimeout(settings) / 1_000_000));
                 clients.add(client);
                 client.getOutputStream().write(bytes(Messages.startupMessage(Unpooled.buffer(), "rehearsal", "rehearsal")));
@@ -115,10 +115,10 @@
     }
 
     /** Reads up to that many ReadyForQuery. */
-    private static void awaitReadyForQuery(Socket client, int answers) throws IOException {
+    private static void awaitReadyForQuery(Socket client, int count) throws IOException {
         DataInputStream in = new DataInputStream(client.getInputStream());
-        for (int left = answers; left > 0; ) {
-            left -= in.readByte() == 'Z' ? 1 : 0;
+        for (int remaining = count; remaining > 0; ) {
+            remaining -= in.readByte() == 'Z' ? 1 : 0;
             in.skipNBytes(in.readInt() - 4);
         }
     }
--- a/src/main/java/reedquay/pg/Frame.java
+++ b/src/main/java/reedquay/pg/Frame.java
@@ -40,19 +40,19 @@
     }
 
     public boolean bodyStartsWith(String ascii) {
-        boolean does = bodyLength() >= ascii.length();
-        for (int i = 0; does && i < ascii.length(); i++) {
-            does = content().getByte(bodyStart() + i) == ascii.charAt(i);
+        boolean matches = bodyLength() >= ascii.length();
+        for (int i = 0; matches && i < ascii.length(); i++) {
+            matches = content().getByte(bodyStart() + i) == ascii.charAt(i);
         }
-        return does;
+        return matches;
     }
 
     /** Text from the given place of the body up to its zero byte, or up to the end. */
-    public String stringAt(int at) {
-        int from = bodyStart() + at;
+    public String stringAt(int offset) {
+        int start = bodyStart() + offset;
         int end = content().writerIndex();
-        int zero = from >= end ? -1 : content().indexOf(from, end, (byte) 0);
-        return from >= end ? "" : content().toString(from, (zero < 0 ? end : zero) - from, StandardCharsets.UTF_8);
+        int zero = start >= end ? -1 : content().indexOf(start, end, (byte) 0);
+        return start >= end ? "" : content().toString(start, (zero < 0 ? end : zero) - start, StandardCharsets.UTF_8);
     }
 
     /**
@@ -60,24 +60,24 @@
      * a completion or an error whose texts end. Guards against passing on what was spoilt on its way.
      */
     public boolean isWellFormed() {
-        ByteBuf all = content();
-        int from = bodyStart();
-        int end = all.writerIndex();
-        int zero = from >= end ? -1 : all.indexOf(from, end, (byte) 0);
+        ByteBuf content = content();
+        int start = bodyStart();
+        int end = content.writerIndex();
+        int zero = start >= end ? -1 : content.indexOf(start, end, (byte) 0);
         return switch (type) {
             case 'T' -> {
-                int name = bodyLength() < 2 ? -1 : all.indexOf(from + 2, end, (byte) 0);
-                yield name >= 0 && all.getShort(from) == 1 && end - name - 1 == COLUMN_DESCRIPTOR_BYTES;
+                int nameEnd = bodyLength() < 2 ? -1 : content.indexOf(start + 2, end, (byte) 0);
+                yield nameEnd >= 0 && content.getShort(start) == 1 && end - nameEnd - 1 == COLUMN_DESCRIPTOR_BYTES;
             }
-            case 'D' -> bodyLength() >= 6 && all.getShort(from) == 1 && all.getInt(from + 2) == bodyLength() - 6;
-            case 'C' -> zero > from && zero == end - 1;
+            case 'D' -> bodyLength() >= 6 && content.getShort(start) == 1 && content.getInt(start + 2) == bodyLength() - 6;
+            case 'C' -> zero > start && zero == end - 1;
             case 'E' -> {
-                int at = from;
-                while (at >= 0 && at < end && all.getByte(at) != 0) {
-                    at = all.indexOf(at + 1, end, (byte) 0) + 1;
-                    at = at == 0 ? -1 : at;
+                int position = start;
+                while (position >= 0 && position < end && content.getByte(position) != 0) {
+                    position = content.indexOf(position + 1, end, (byte) 0) + 1;
+                    position = position == 0 ? -1 : position;
                 }
-                yield at > from && at == end - 1;
+                yield position > start && position == end - 1;
             }
             default -> true;
         };
@@ -86,27 +86,27 @@
     /** The fields of an ErrorResponse or notice by their one-letter names. */
     public Map<Character, String> errorFields() {
         Map<Character, String> fields = new HashMap<>();
-        int at = 0;
-        while (at < bodyLength() && content().getByte(bodyStart() + at) != 0) {
-            char name = (char) content().getByte(bodyStart() + at);
-            String value = stringAt(at + 1);
+        int offset = 0;
+        while (offset < bodyLength() && content().getByte(bodyStart() + offset) != 0) {
+            char name = (char) content().getByte(bodyStart() + offset);
+            String value = stringAt(offset + 1);
             fields.put(name, value);
-            at += 2 + value.getBytes(StandardCharsets.UTF_8).length;
+            offset += 2 + value.getBytes(StandardCharsets.UTF_8).length;
         }
         return fields;
     }
 
     /** The parameters of a startup message by name, the first sixteen. */
     public Map<String, String> startupParameters() {
-        Map<String, String> all = new HashMap<>();
-        int at = Integer.BYTES;
-        while (all.size() < 16 && at < bodyLength() && content().getByte(bodyStart() + at) != 0) {
-            String name = stringAt(at);
-            at += name.getBytes(StandardCharsets.UTF_8).length + 1;
-            String value = stringAt(at);
-            at += value.getBytes(StandardCharsets.UTF_8).length + 1;
-            all.put(name, value);
+        Map<String, String> parameters = new HashMap<>();
+        int offset = Integer.BYTES;
+        while (parameters.size() < 16 && offset < bodyLength() && content().getByte(bodyStart() + offset) != 0) {
+            String name = stringAt(offset);
+            offset += name.getBytes(StandardCharsets.UTF_8).length + 1;
+            String value = stringAt(offset);
+            offset += value.getBytes(StandardCharsets.UTF_8).length + 1;
+            parameters.put(name, value);
         }
-        return all;
+        return parameters;
     }
 }
--- a/src/main/java/reedquay/pg/Messages.java
+++ b/src/main/java/reedquay/pg/Messages.java
@@ -14,8 +14,8 @@
         return out.writerIndex() - 4;
     }
 
-    private static void endMessage(ByteBuf out, int at) {
-        out.setInt(at, out.writerIndex() - at);
+    private static void endMessage(ByteBuf out, int lengthIndex) {
+        out.setInt(lengthIndex, out.writerIndex() - lengthIndex);
     }
 
     private static void writeString(ByteBuf out, String text) {
@@ -24,35 +24,35 @@
     }
 
     /** What a server says once it admits a client, without the ReadyForQuery. */
-    public static ByteBuf startupResponse(ByteBuf out, int process, int secret) {
-        int at = beginMessage(out, 'R');
+    public static ByteBuf startupResponse(ByteBuf out, int processId, int secretKey) {
+        int lengthIndex = beginMessage(out, 'R');
         out.writeInt(0);
-        endMessage(out, at);
+        endMessage(out, lengthIndex);
         String[] parameters = {"server_version", "15.0", "server_encoding", "UTF8", "client_encoding", "UTF8",
             "DateStyle", "ISO, MDY", "integer_datetimes", "on", "standard_conforming_strings", "on"};
         for (int i = 0; i < parameters.length; i += 2) {
             parameterStatus(out, parameters[i], parameters[i + 1]);
         }
-        at = beginMessage(out, 'K');
-        out.writeInt(process);
-        out.writeInt(secret);
-        endMessage(out, at);
+        lengthIndex = beginMessage(out, 'K');
+        out.writeInt(processId);
+        out.writeInt(secretKey);
+        endMessage(out, lengthIndex);
         return out;
     }
 
     public static ByteBuf parameterStatus(ByteBuf out, String name, String value) {
-        int at = beginMessage(out, 'S');
+        int lengthIndex = beginMessage(out, 'S');
         writeString(out, name);
         writeString(out, value);
-        endMessage(out, at);
+        endMessage(out, lengthIndex);
         return out;
     }
 
     /** ReadyForQuery outside a transaction. */
     public static ByteBuf readyForQuery(ByteBuf out) {
-        int at = beginMessage(out, 'Z');
+        int lengthIndex = beginMessage(out, 'Z');
         out.writeByte('I');
-        endMessage(out, at);
+        endMessage(out, lengthIndex);
         return out;
     }
 
@@ -62,15 +62,15 @@
     }
 
     public static ByteBuf commandComplete(ByteBuf out, String tag) {
-        int at = beginMessage(out, 'C');
+        int lengthIndex = beginMessage(out, 'C');
         writeString(out, tag);
-        endMessage(out, at);
+        endMessage(out, lengthIndex);
         return out;
     }
 
     /** detail: null for none. */
     public static ByteBuf errorResponse(ByteBuf out, String severity, String code, String message, String detail) {
-        int at = beginMessage(out, 'E');
+        int lengthIndex = beginMessage(out, 'E');
         String[] fields = {"S", severity, "V", severity, "C", code, "M", message, "D", detail};
         for (int i = 0; i < fields.length; i += 2) {
             if (fields[i + 1] != null) {
@@ -79,50 +79,50 @@
             }
         }
         out.writeByte(0);
-        endMessage(out, at);
+        endMessage(out, lengthIndex);
         return out;
     }
 
     /** Describes columns of text. */
     public static ByteBuf rowDescription(ByteBuf out, String... names) {
-        int at = beginMessage(out, 'T');
+        int lengthIndex = beginMessage(out, 'T');
         out.writeShort(names.length);
         for (String name : names) {
             writeString(out, name);
             out.writeInt(0).writeShort(0).writeInt(25).writeShort(-1).writeInt(-1).writeShort(0);
         }
-        endMessage(out, at);
+        endMessage(out, lengthIndex);
         return out;
     }
 
     public static ByteBuf dataRow(ByteBuf out, String... values) {
-        int at = beginMessage(out, 'D');
+        int lengthIndex = beginMessage(out, 'D');
         out.writeShort(values.length);
         for (String value : values) {
             byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
             out.writeInt(bytes.length).writeBytes(bytes);
         }
-        endMessage(out, at);
+        endMessage(out, lengthIndex);
         return out;
     }
 
     /** The first message of a client. */
     public static ByteBuf startupMessage(ByteBuf out, String user, String database) {
-        int at = out.writerIndex();
+        int lengthIndex = out.writerIndex();
         out.writeInt(0).writeInt(Frame.PROTOCOL_VERSION_3);
         writeString(out, "user");
         writeString(out, user);
         writeString(out, "database");
         writeString(out, database);
         out.writeByte(0);
-        endMessage(out, at);
+        endMessage(out, lengthIndex);
         return out;
     }
 
     public static ByteBuf query(ByteBuf out, String text) {
-        int at = beginMessage(out, 'Q');
+        int lengthIndex = beginMessage(out, 'Q');
         writeString(out, text);
-        endMessage(out, at);
+        endMessage(out, lengthIndex);
         return out;
     }
 
@@ -136,10 +136,10 @@
         String digits = Long.toString(number);
         ByteBuf content = frame.content();
         int length = frame.bodyLength() - (to - from) + digits.length();
-        ByteBuf head = allocator.buffer(5 + from + digits.length());
-        head.writeByte('Q').writeInt(4 + length).writeBytes(content, frame.bodyStart(), from);
-        head.writeCharSequence(digits, StandardCharsets.US_ASCII);
+        ByteBuf header = allocator.buffer(5 + from + digits.length());
+        header.writeByte('Q').writeInt(4 + length).writeBytes(content, frame.bodyStart(), from);
+        header.writeCharSequence(digits, StandardCharsets.US_ASCII);
         ByteBuf rest = content.retainedSlice(frame.bodyStart() + to, frame.bodyLength() - to);
-        return allocator.compositeBuffer(2).addComponents(true, head, rest);
+        return allocator.compositeBuffer(2).addComponents(true, header, rest);
     }
 }
