--- a/src/main/java/reedquay/net/Dispatcher.java
+++ b/src/main/java/reedquay/net/Dispatcher.java
@@ -32,7 +32,11 @@
 import reedquay.core.Stage;
 import reedquay.pg.Messages;
 
-/** Turns what happens on sockets into the decisions' inputs, and their effects into writes; decides nothing. */
+/**
+ * Connects the sockets with the routing engine: passes socket events to the engine as inputs, and carries out the
+ * actions that the engine asks for. It takes no routing decision of its own. Used on the event loop alone; times are
+ * in nanoseconds unless a name says otherwise.
+ */
 final class Dispatcher implements RoutingActions {
     private static final System.Logger LOG = System.getLogger("reedquay");
     private static final int MAX_DISTINCT_WARNINGS = 64;
@@ -49,12 +53,12 @@
     private final Map<String, Method> methods = new HashMap<>();
     private final Map<String, Pool> pools = new LinkedHashMap<>();
     private final Set<String> loggedWarnings = new HashSet<>();
-    private final Map<Long, Rpc> inFlightById = new LinkedHashMap<>(); // the RPCs in hand by their ids
+    private final Map<Long, Rpc> inFlightById = new LinkedHashMap<>(); // RPCs without a final answer, by id
     private final ArrayDeque<Consumer<RoutingEngine>> pendingInputs = new ArrayDeque<>();
     private final ArrayDeque<Runnable> afterBatchTasks = new ArrayDeque<>();
-    private final ArrayDeque<MemberConnection> settling = new ArrayDeque<>(); // those that have answered, in order
+    private final ArrayDeque<MemberConnection> settling = new ArrayDeque<>(); // oldest response first
     private boolean inBatch;
-    private boolean runningAfterBatchTasks; // what came afterwards is being run
+    private boolean runningAfterBatchTasks;
     private ScheduledFuture<?> wakeUpTimer;
     private long answerDeadline = Long.MAX_VALUE;
     private int inFlight;
@@ -68,7 +72,7 @@
         this.limits = limits;
         this.counters = counters;
         settings = reader.readSettings(seed);
-        reports = reader.loadReportParser(0); // Unix time, whatever zero the settings name
+        reports = reader.loadReportParser(0); // positions are Unix time, whatever epoch the settings name
         settings.methods().forEach(m -> methods.put(m.name(), m));
         engine = engineFactory.apply(settings, this);
         counters.gauge("rpc.inhand", () -> inFlight);
@@ -77,7 +81,7 @@
 
     // ---- Inputs ----
 
-    /** All counters now, those of stages before the decisions too. */
+    /** The current value of every counter, including those of the engine's stages. */
     Map<String, Long> allCounters() {
         Map<String, Long> counts = counters.snapshot();
         if (engine instanceof Stage stage) {
@@ -86,12 +90,15 @@
         return counts;
     }
 
-    /** A table that a stage before the decisions has; null for none. */
+    /** The statistics table of that name that a stage before the engine provides; null where there is none. */
     List<String[]> showTable(String name) {
         return engine instanceof Stage stage ? stage.statisticsTable(name) : null;
     }
 
-    /** One input is one batch; what an effect brings about at once is the next batch's. */
+    /**
+     * Runs an input as a batch of its own. An input that an action submits while a batch is running becomes the next
+     * batch. The tasks given to runAfterBatch run behind the last batch.
+     */
     void submitInput(Consumer<RoutingEngine> input) {
         pendingInputs.addLast(input);
         if (inBatch) {
@@ -106,16 +113,16 @@
             inBatch = false;
         }
         if (runningAfterBatchTasks) {
-            return; // guards the stack: whoever sends many RPCs ahead would nest one call into the next
+            return; // prevents a stack overflow: each pipelined RPC of a client would nest one call deeper
         }
         runningAfterBatchTasks = true;
         try {
             while (!afterBatchTasks.isEmpty()) {
                 try {
                     afterBatchTasks.pollFirst().run();
-                } catch (RuntimeException e) { // one session's fault must not take the others with it
+                } catch (RuntimeException e) { // a failure of one session must not affect the others
                     counters.add("broken.session");
-                    logOnce("a session could not go on: " + e);
+                    logOnce("a client session failed to continue: " + e);
                 }
             }
         } finally {
@@ -128,18 +135,19 @@
             engine.beginBatch(clock.now());
             input.accept(engine);
             engine.endBatch();
-        } catch (RuntimeException e) { // one RPC's fault must not take the others with it
+        } catch (RuntimeException e) { // a failure on one RPC must not affect the others
             counters.add("broken.decision");
-            logOnce("a decision failed: " + e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : ""));
+            logOnce("a routing decision failed: " + e + " at "
+                    + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : ""));
         }
     }
 
-    /** Runs it behind the batch that is under way or is about to begin: an answer is told to the decisions first. */
+    /** Runs the task behind the current or next batch, so that the engine is notified of an answer first. */
     void runAfterBatch(Runnable task) {
         afterBatchTasks.addLast(task);
     }
 
-    /** Whether an RPC of that id has no final answer yet. */
+    /** Whether an RPC of that id is still without its final answer. */
     boolean isInFlight(long id) {
         return inFlightById.containsKey(id);
     }
@@ -148,23 +156,26 @@
         return methods.get(name);
     }
 
-    /** Guards against the kill that ends a stop: nothing is in hand then. */
+    /**
+     * Brings the deadline of each RPC, in flight or to come, forward to the given time at the latest: at a shutdown
+     * every RPC has its answer before the process is killed.
+     */
     void answerAllBy(long deadline) {
         answerDeadline = deadline;
         for (Rpc rpc : List.copyOf(inFlightById.values())) {
-            if (rpc.deadline > deadline) { // its client would wait for longer than this gateway lives
+            if (rpc.deadline > deadline) { // its client would wait for longer than this process runs
                 rpc.deadline = deadline;
                 submitInput(d -> d.deadlineShortened(rpc));
             }
         }
     }
 
-    /** An RPC was read whole. */
+    /** Registers an RPC that was read completely; the caller submits it to the engine. */
     Rpc acceptRpc(ClientSession session, Statement statement, ClientIdentifier identifier) {
         long now = clock.now();
         long minPosition = statement.minPositionMillis == 0 ? 0 : reports.position(statement.minPositionMillis, false);
-        long tokenAge = statement.minPositionMillis == 0 ? 0 : Math.max(1, now - minPosition); // 0 would stand for none
-        Method method = methods.get(statement.method); // a client waits for no longer than its deadline
+        long tokenAge = statement.minPositionMillis == 0 ? 0 : Math.max(1, now - minPosition); // 0 means no token
+        Method method = methods.get(statement.method); // its deadline bounds the wait that the client states
         Rpc rpc = new Rpc(statement.id, statement.group, statement.session,
                 Math.min(now + Math.min(statement.waitMillis * 1_000_000, method.deadline()), answerDeadline),
                 statement.retry, tokenAge, statement.tenant, method);
@@ -201,7 +212,7 @@
         });
     }
 
-    /** A member has answered a send whole. */
+    /** Ends a request whose response has come completely. */
     void responseReceived(MemberRequest request, MemberConnection.Response response) {
         Outcome outcome = response.sqlState == null ? Outcome.OK : switch (response.sqlState) {
             case "25006", "72000" -> Outcome.MISS;
@@ -211,7 +222,8 @@
         LoadReport report = MemberConnection.parseLoadReport(this, response, request.callOut == null);
         boolean commit = outcome == Outcome.OK && request.callOut != null
                 && request.callOut.rpc.method.consistency() == Method.Consistency.WRITE;
-        long position = response.hasPosition ? reports.position(response.positionMillis, commit) : LoadReport.NO_POSITION;
+        long position = response.hasPosition ? reports.position(response.positionMillis, commit)
+                : LoadReport.NO_POSITION;
         if (request.callOut == null && report == LoadReport.NONE) {
             report = new LoadReport(position, response.role, -1, -1, -1);
         }
@@ -219,13 +231,13 @@
         response.release();
     }
 
-    /** A send ended without an answer. */
+    /** Ends a request that got no response. */
     void requestFailed(MemberRequest request, Outcome outcome) {
         completeRequest(request, outcome, null, LoadReport.NO_POSITION, Role.UNKNOWN, LoadReport.NONE);
     }
 
-    private void completeRequest(MemberRequest request, Outcome outcome, MemberConnection.Response response, long position, Role role,
-            LoadReport report) {
+    private void completeRequest(MemberRequest request, Outcome outcome, MemberConnection.Response response,
+            long position, Role role, LoadReport report) {
         counters.check(!request.completed, "one outcome for each send");
         if (request.completed) {
             return;
@@ -262,7 +274,7 @@
         trace.rpcEnded(rpc, counter, byEngine && trace.enabled ? engine.explain(rpc) : "");
     }
 
-    // ---- Effects ----
+    // ---- Actions of the routing engine ----
 
     @Override public void sendCallOut(CallOut callOut, long limit) {
         Pool pool = (Pool) callOut.member.frontState;
@@ -299,9 +311,10 @@
 
     @Override public void pushBack(Rpc rpc, long retryAfter) {
         recordFinalAnswer(rpc, "rpc.pushedback", true);
-        // rounded up: a client that came earlier would find nothing new
+        // rounded up: a client that retried any earlier would find nothing changed
         String retryAfterMillis = retryAfter > 0 ? Long.toString((retryAfter + 999_999) / 1_000_000) : null;
-        ((ClientSession) rpc.frontState).sendError("53300", "no room for this statement now; trying again is harmless", retryAfterMillis);
+        ((ClientSession) rpc.frontState).sendError("53300", "no room for this statement now; trying again is harmless",
+                retryAfterMillis);
     }
 
     @Override public void abort(Rpc rpc) {
@@ -338,7 +351,7 @@
         }, delay, TimeUnit.NANOSECONDS);
     }
 
-    @Override public void requestMemberList() { } // the watch on discovery is always on
+    @Override public void requestMemberList() { } // the watch on discovery is always open
 
     @Override public void log(String line) {
         LOG.log(System.Logger.Level.INFO, line);
@@ -350,9 +363,12 @@
         }
     }
 
-    // ---- What connections ask for ----
+    // ---- Services for connections ----
 
-    /** The connection is told a tick later that it has settled: one timer for all, whatever is under way. */
+    /**
+     * Ends the settling of a connection one tick from now. All connections share one timer, since their responses
+     * come in order of time.
+     */
     void startSettling(MemberConnection connection) {
         connection.idleSince = clock.now() + settings.tick();
         settling.addLast(connection);
@@ -371,13 +387,18 @@
         }
     }
 
-    /** Guards against reading stale data: a position well ahead of the clock would stand for a fresh one. */
+    /**
+     * Whether a member's position, in Unix milliseconds, can be right. Prevents reads of stale data, which happen when
+     * a position well ahead of the clock passes for fresh data; a position that fails is counted.
+     */
     boolean isPlausiblePosition(long millis) {
-        boolean plausible = millis >= 0 && millis - clock.now() / 1_000_000 <= settings.capabilities().connectTimeout() / 1_000_000;
+        boolean plausible = millis >= 0
+                && millis - clock.now() / 1_000_000 <= settings.capabilities().connectTimeout() / 1_000_000;
         counters.add("member.position.unreadable", plausible ? 0 : 1);
         return plausible;
     }
 
+    /** The Query message of a call-out, with the time that is left until its deadline. */
     ByteBuf buildQuery(MemberRequest request, ByteBufAllocator allocator) {
         trace.callOutSent(request.callOut);
         Rpc rpc = request.callOut.rpc;
@@ -385,19 +406,22 @@
         return ((ClientSession) rpc.frontState).statement().queryForMember(allocator, remainingMillis);
     }
 
+    /** The Query message of a probe: it asks for a load report where the settings say that probes carry one. */
     ByteBuf buildProbeQuery(ByteBufAllocator allocator) {
         boolean readsPositions = settings.positionSources().inProbes();
         return Messages.query(allocator.buffer(32), readsPositions ? "SHOW server_load" : "SELECT 1");
     }
 
-    /** Makes room for a connection by closing one that has been idle; false where there is none. */
+    /** Closes an idle connection to free its descriptor for a new one; false where no connection is idle. */
     boolean closeAnyIdleConnection() {
         return pools.values().stream().anyMatch(p -> p.closeOldestIdle(Long.MAX_VALUE, "room"));
     }
 
+    /** Closes the member connections that have timed out: while they opened, on a request, or idle. */
     void sweep(long idleTimeout) {
         long now = clock.now();
-        new ArrayList<>(pools.values()).forEach(p -> p.sweep(now, settings.capabilities().connectTimeout(), idleTimeout));
+        new ArrayList<>(pools.values()).forEach(
+                p -> p.sweep(now, settings.capabilities().connectTimeout(), idleTimeout));
     }
 
     int inFlight() {
