--- a/src/main/java/reedquay/net/ClientSession.java
+++ b/src/main/java/reedquay/net/ClientSession.java
@@ -19,11 +19,12 @@
 import reedquay.pg.FrameDecoder;
 import reedquay.pg.Messages;
 
-/** One client's connection: takes its messages in order, one RPC in hand at a time. */
+/** One client's connection: handles its messages in order and has at most one RPC in flight. Times in nanoseconds. */
 final class ClientSession extends ChannelInboundHandlerAdapter {
     private enum State { STARTUP, IDLE, AWAITING_READINESS, IN_FLIGHT, SKIPPING_TO_SYNC, CLOSING }
 
-    private static final int MESSAGES_PER_TURN = 16; // messages taken from one client before the others have their turn
+    /** Messages handled for one client before the others have their turn. */
+    private static final int MESSAGES_PER_TURN = 16;
 
     final FrameDecoder decoder = FrameDecoder.forClient(Limits.MAX_MESSAGE_BYTES);
     private final Gateway gateway;
@@ -36,14 +37,15 @@
     private Statement statement;
     private boolean draining;
     private boolean registered;
-    private boolean commandReceived; // something has come behind its startup
+    private boolean commandReceived; // a message has come after the startup
     private long connectedAt;
-    private String inputError; // what is wrong with what it sent, told once all that came before is answered
-    private long lastProgressAt; // when it was last seen to owe nothing; before its first message, when it came
-    private int partialBytes; // bytes of a message that is not whole
+    private String inputError; // why its input is malformed; sent once all earlier messages are answered
+    /** The last time without an incomplete message; until the startup has come, the time of connecting. */
+    private long lastProgressAt;
+    private int partialBytes; // bytes of a message that has not come completely
     private int messagesThisTurn;
     private boolean turnScheduled;
-    private Map<String, String> startupParameters; // of its startup, where somebody asks for them
+    private Map<String, String> startupParameters; // null where no client identifier is configured
     private String clientAddress;
 
     ClientSession(Gateway gateway, Dispatcher dispatcher) {
@@ -95,11 +97,11 @@
         processQueue();
     }
 
-    /** Works through what has come, as far as the one RPC in hand and a client that reads allow. */
+    /** Handles queued messages until an RPC is in flight, the client stops reading its answers, or its turn is over. */
     private void processQueue() {
         while (!queued.isEmpty() && state != State.IN_FLIGHT && state != State.AWAITING_READINESS
                 && (channel.isWritable() || state == State.CLOSING)) {
-            if (++messagesThisTurn > MESSAGES_PER_TURN) { // guards the others against hundreds of commands at once
+            if (++messagesThisTurn > MESSAGES_PER_TURN) { // hundreds of commands at once must not delay other clients
                 if (!turnScheduled) {
                     turnScheduled = true;
                     channel.eventLoop().execute(this::nextTurn);
@@ -120,10 +122,11 @@
             sendFatalError("08P01", inputError);
         }
         if (state == State.CLOSING) {
-            return; // what still comes is passed over
+            return; // whatever still comes is discarded
         }
-        // a client that sends ahead without end, or reads nothing, is not read from; nobody is while memory is short
-        channel.config().setAutoRead(queuedBytes <= dispatcher.limits.maxQueuedBytes && !dispatcher.limits.isMemoryFull());
+        // not read from: a client that pipelines too much or reads no answers, and all clients while memory is short
+        channel.config().setAutoRead(queuedBytes <= dispatcher.limits.maxQueuedBytes
+                && !dispatcher.limits.isMemoryFull());
         if (draining && state == State.IDLE && queued.isEmpty()) {
             closeAfterFlush();
         }
@@ -137,12 +140,13 @@
     }
 
     /**
-     * Guards against clients that take a place and give nothing: one that says nothing, one whose message never ends,
-     * and one that was refused and still sends.
+     * Closes a connection that holds resources without use: a client that sends nothing, one whose message never ends,
+     * and one that still sends after a fatal error. lingerTimeout: how long the last of these may go on.
      */
     void sweep(long now, long lingerTimeout) {
         if (state == State.CLOSING) {
-            if (now - lastProgressAt >= (inputError == null ? Limits.UNUSED_TIMEOUT_NANOS : lingerTimeout)) { // a last answer may still be on its way
+            // without an input error the longer time holds: a last answer may still be on its way
+            if (now - lastProgressAt >= (inputError == null ? Limits.UNUSED_TIMEOUT_NANOS : lingerTimeout)) {
                 channel.close();
             }
         } else if (state != State.STARTUP && !decoder.hasPartialMessage() || !channel.config().isAutoRead()) {
@@ -161,12 +165,16 @@
         return connectedAt;
     }
 
-    /** Whether it is not read from for want of memory. */
+    /** Whether it is not read from because the gateway's memory for messages is full. */
     boolean isPausedForMemory() {
-        return !channel.config().isAutoRead() && queuedBytes <= dispatcher.limits.maxQueuedBytes && state != State.CLOSING;
+        return !channel.config().isAutoRead() && queuedBytes <= dispatcher.limits.maxQueuedBytes
+                && state != State.CLOSING;
     }
 
-    /** What it sends can't be read from here on. Guards what came before: an RPC taken stays owed its answer. */
+    /**
+     * Reads nothing more from this client, whose input is malformed. The error is sent once everything that came before
+     * is answered, since an RPC in flight still gets its answer.
+     */
     void rejectInput(String error) {
         if (inputError == null && state != State.CLOSING) {
             inputError = error;
@@ -230,7 +238,7 @@
     }
 
     private void handleQuery(Frame frame) {
-        if (frame.bodyStartsWith("/*")) { // nearly all of them
+        if (frame.bodyStartsWith("/*")) { // the usual case
             startRpc(frame);
             return;
         }
@@ -241,7 +249,8 @@
             gateway.whenReady(this::answerEmptyQuery);
         } else if (command.equals("SHOW COUNTERS")) {
             sendCounters();
-        } else if (command.matches("SHOW [A-Z]+") && gateway.showTable(command.substring(5).toLowerCase(Locale.ROOT)) != null) {
+        } else if (command.matches("SHOW [A-Z]+")
+                && gateway.showTable(command.substring(5).toLowerCase(Locale.ROOT)) != null) {
             List<String[]> table = gateway.showTable(command.substring(5).toLowerCase(Locale.ROOT));
             sendTable(table.subList(1, table.size()), table.get(0));
         } else if (command.matches("(SET|RESET|DISCARD)( .*)?")) {
@@ -286,11 +295,11 @@
             }
         } catch (Statement.InvalidStatementException e) {
             dispatcher.counters.add("client.unfit");
-            dispatcher.logOnce("a client sent what cannot be routed: " + e.getMessage());
+            dispatcher.logOnce("rejected a client's statement that cannot be routed: " + e.getMessage());
             write(Messages.readyForQuery(Messages.errorResponse(buffer(), "ERROR", "42601", e.getMessage(), null)));
             return;
         }
-        frame.retain(); // until its final answer
+        frame.retain(); // released with the final answer
         dispatcher.limits.addHeldBytes(Limits.memoryCost(frame));
         statement = parsed;
         state = State.IN_FLIGHT;
@@ -299,12 +308,12 @@
         dispatcher.submitInput(d -> d.rpcArrived(started));
     }
 
-    /** A name for this connection that no other has while it lives. */
+    /** An id that no other connection has while this one is open. */
     String connectionId() {
         return channel.id().asShortText();
     }
 
-    /** Where it comes from, without the port. */
+    /** The client's IP address, without the port. */
     String clientAddress() {
         if (clientAddress == null && channel.remoteAddress() instanceof InetSocketAddress remote) {
             clientAddress = remote.getAddress().getHostAddress();
@@ -320,13 +329,13 @@
         return statement;
     }
 
-    /** The final answer as the member's bytes. */
+    /** Sends the final answer: the member's messages as they came. */
     void sendResult(List<Frame> frames) {
         frames.forEach(f -> channel.write(f.content().retain()));
         finishRpc(Messages.readyForQuery(buffer()));
     }
 
-    /** The final answer as an error; millis: when to come back, null for no advice. */
+    /** Sends the final answer as an error; retryAfterMillis: the retry-after, null for none. */
     void sendError(String code, String message, String retryAfterMillis) {
         finishRpc(Messages.readyForQuery(Messages.errorResponse(buffer(), "ERROR", code, message, retryAfterMillis)));
     }
@@ -335,11 +344,11 @@
         channel.writeAndFlush(response);
         clearRpc();
         state = State.IDLE;
-        // guards against an RPC that is taken from within the batch of decisions that answered the last one
+        // prevents an RPC from starting within the batch of decisions that answered the previous one
         dispatcher.runAfterBatch(this::resume);
     }
 
-    /** Goes on with what came ahead, or reads again. */
+    /** Handles queued messages again, or resumes reading. */
     void resume() {
         if (channel.isActive()) {
             processQueue();
@@ -360,7 +369,7 @@
         }
     }
 
-    /** From now on the session closes as soon as it has nothing in hand. */
+    /** From now on the session closes as soon as it has no RPC in flight and no queued message. */
     void drain() {
         draining = true;
         if (state == State.IDLE && queued.isEmpty() || state == State.STARTUP || state == State.AWAITING_READINESS) {
@@ -375,12 +384,13 @@
     }
 
     /**
-     * The error goes out and the sending ends; what still comes is passed over within a bound of bytes and, by the
-     * sweep, of time. Guards the error: closed at once, a connection with unread bytes is reset, which can overtake it.
+     * Sends a FATAL error and ends the outgoing side; input is discarded up to a limit of bytes and, by the sweep, of
+     * time. Prevents loss of the error, which happens when a connection is closed at once: with unread bytes it is
+     * reset, and the reset can overtake the error.
      */
     private void sendFatalError(String code, String message) {
         dispatcher.counters.add("client.malformed");
-        dispatcher.logOnce("a client sent what the protocol does not allow: " + message);
+        dispatcher.logOnce("a client violated the protocol: " + message);
         state = State.CLOSING;
         lastProgressAt = dispatcher.clock.now();
         decoder.discardInput();
@@ -416,9 +426,9 @@
             ctx.close();
         } else if (cause instanceof DecoderException) {
             rejectInput("what is no message, or one of an impossible length");
-        } else { // guards the others: whatever else went wrong here ends here
+        } else { // any other failure ends this session alone
             dispatcher.counters.add("client.failed");
-            dispatcher.logOnce("a session failed: " + cause.getClass().getSimpleName());
+            dispatcher.logOnce("a client session failed: " + cause.getClass().getSimpleName());
             ctx.close();
         }
     }
