--- a/src/main/java/reedquay/net/MemberConnection.java
+++ b/src/main/java/reedquay/net/MemberConnection.java
@@ -14,16 +14,17 @@
 import reedquay.pg.FrameDecoder;
 import reedquay.pg.Messages;
 
-/** One connection to a member; carries one send at a time. */
+/** One connection to a member; carries one request at a time. Times in nanoseconds. */
 final class MemberConnection extends ChannelInboundHandlerAdapter {
     enum State { OPENING, SETTLING, IDLE, RESERVED, BUSY, CLOSED }
 
-    private static final String RESULT_TYPES = "TDC"; // row description, row, completion: an answer is these, once each
+    /** The message types of a result, in order and once each: RowDescription, DataRow, CommandComplete. */
+    private static final String RESULT_TYPES = "TDC";
 
-    /** What came back for a send, up to ReadyForQuery. */
+    /** What the member sent for a request, up to ReadyForQuery. */
     static final class Response {
         final List<Frame> frames = new ArrayList<>(RESULT_TYPES.length());
-        String sqlState; // its SQLSTATE
+        String sqlState; // of an ErrorResponse; null without one
         Role role = Role.UNKNOWN;
         long positionMillis;
         boolean hasPosition;
@@ -50,8 +51,8 @@
     private Response response = new Response();
     private boolean written;
     private boolean malformed;
-    private boolean carriedRequest, reused; // kept: it has carried a statement before this one
-    private Outcome openFailure = Outcome.NO_CONNECTION; // what waits for this connection gets if it never comes up
+    private boolean carriedRequest, reused; // reused: it carried a request before the current one
+    private Outcome openFailure = Outcome.NO_CONNECTION; // outcome of the waiting request if this never opens
 
     MemberConnection(Dispatcher dispatcher, Pool pool, long openedAt) {
         this.dispatcher = dispatcher;
@@ -67,7 +68,7 @@
         ctx.writeAndFlush(Messages.startupMessage(ctx.alloc().buffer(64), "reedquay", "reedquay"));
     }
 
-    /** Sends the query of a send that has this connection to itself from here on. */
+    /** Writes the query of a request, which has this connection to itself from here on. */
     void send(MemberRequest newRequest) {
         dispatcher.counters.check(state == State.IDLE || state == State.RESERVED, "one send at a time on a connection");
         reused = carriedRequest;
@@ -93,14 +94,14 @@
         boolean retained = false;
         try {
             if (state == State.CLOSED) {
-                return; // what stood behind the breach
+                return; // input that follows a protocol violation
             }
             switch (frame.type) {
                 case 'T', 'D', 'C' -> {
-                    // guards against passing on what no member made: nothing is left out, twice, or out of its order
+                    // prevents passing on a malformed result: each part comes once, and in order
                     if (state != State.BUSY || response.sqlState != null || response.isComplete()
                             || RESULT_TYPES.charAt(response.frames.size()) != frame.type || !frame.isWellFormed()) {
-                        protocolViolation("an answer that is spoilt, or that nothing asked for");
+                        protocolViolation("a malformed or unexpected part of a result");
                         return;
                     }
                     response.frames.add(frame);
@@ -111,17 +112,18 @@
                     if (state == State.BUSY && frame.type == 'S') {
                         handleParameterStatus(frame);
                     } else if (state != State.BUSY && state != State.OPENING) {
-                        protocolViolation("more than the answer");
+                        protocolViolation("data after the end of a response");
                     }
                 }
                 case 'Z' -> handleReadyForQuery();
                 case 'R' -> {
-                    if (state != State.OPENING || frame.bodyLength() < 4 || frame.content().getInt(frame.bodyStart()) != 0) {
-                        protocolViolation("a request for authentication that is not known here");
+                    if (state != State.OPENING || frame.bodyLength() < 4
+                            || frame.content().getInt(frame.bodyStart()) != 0) {
+                        protocolViolation("an unsupported authentication request");
                     }
                 }
                 case 'K' -> { }
-                default -> protocolViolation("a message that answers no simple query");
+                default -> protocolViolation("a message type that is no response to a simple query");
             }
         } finally {
             if (!retained) {
@@ -136,9 +138,9 @@
             openFailure = code.equals("53300") ? Outcome.FULL : Outcome.NO_CONNECTION;
             channel.close();
         } else if (state != State.BUSY) {
-            close(); // it says why it is about to close
+            close(); // an error between requests announces that the member closes
         } else if (code.isEmpty() || response.sqlState != null || response.isComplete()) {
-            protocolViolation("an error that is spoilt");
+            protocolViolation("a malformed or unexpected error");
         } else {
             response.sqlState = code;
         }
@@ -168,7 +170,7 @@
             settlingEnded();
         } else if (state == State.BUSY) {
             if (!response.isComplete() && response.sqlState == null) {
-                protocolViolation("ready for a query without an answer to the last one");
+                protocolViolation("ReadyForQuery without a response to the query");
                 return;
             }
             MemberRequest finished = request;
@@ -179,20 +181,21 @@
             dispatcher.responseReceived(finished, completeResponse);
             dispatcher.startSettling(this);
         } else {
-            protocolViolation("ready for a query twice");
+            protocolViolation("ReadyForQuery twice");
         }
     }
 
     /**
-     * Free again, if nothing came behind the last answer. Guards against the gravest mistake, a second copy of one
-     * answer that passes for the answer to the next statement: it is waited for, what comes ends the connection
+     * Makes the connection idle again, if nothing followed the last response. Prevents the answer to one statement from
+     * being served for the next, which happens when a member sends a second copy of a response: it is waited for, and
+     * any data that comes ends the connection.
      */
     void settlingEnded() {
         if (state == State.CLOSED || !channel.isActive()) {
             return;
         }
         if (!isClean()) {
-            protocolViolation("more than the answer");
+            protocolViolation("data after the end of a response");
             return;
         }
         state = State.IDLE;
@@ -200,15 +203,15 @@
         pool.connectionReady(this);
     }
 
-    /** Whether nothing of a further message has come. */
+    /** Whether no byte of a further message has come. */
     boolean isClean() {
         return !decoder.hasPartialMessage();
     }
 
     private void protocolViolation(String violation) {
         dispatcher.counters.add("member.breach");
-        dispatcher.logOnce("a member sent what the protocol does not allow: " + violation);
-        malformed = state == State.BUSY; // it has run: nothing of it is passed on or believed
+        dispatcher.logOnce("a member violated the protocol: " + violation);
+        malformed = state == State.BUSY; // the statement ran; nothing of its response is passed on or trusted
         channel.close();
         handleClosed();
     }
@@ -217,7 +220,7 @@
         handleClosed();
     }
 
-    /** The connection is gone, whoever ended it. */
+    /** Ends the request of a connection that closed, whichever side closed it. */
     private void handleClosed() {
         State previous = state;
         if (previous == State.CLOSED) {
@@ -231,19 +234,19 @@
         dispatcher.limits.memberConnectionClosed();
         pool.connectionClosed(this, previous, openFailure);
         if (interrupted != null && !malformed && (lastResponse.isComplete() || lastResponse.sqlState != null)) {
-            dispatcher.responseReceived(interrupted, lastResponse); // whole, though no ReadyForQuery came
+            dispatcher.responseReceived(interrupted, lastResponse); // complete, though no ReadyForQuery came
             return;
         }
         lastResponse.release();
         if (interrupted != null) {
-            // guards against calling unsent what was written: unsure counts as may have run; and against holding it
-            // against a member that a connection kept to it was of no more use: a dead process refuses the next one
+            // A query that may have been written counts as one that may have run. A reused connection that broke says
+            // nothing against the member: if its process is dead, it refuses the next connection.
             dispatcher.requestFailed(interrupted, malformed ? Outcome.SPOILT : !written ? Outcome.NO_CONNECTION
                     : reused ? Outcome.STALE : Outcome.RESET);
         }
     }
 
-    /** Closes without a word to whoever waits: the send was given up. */
+    /** Closes without completing the request; the caller does that. */
     void abandon() {
         request = null;
         close();
@@ -259,12 +262,12 @@
 
     @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof java.io.IOException) && state != State.CLOSED) {
-            protocolViolation("what is no message, or one of an impossible length");
+            protocolViolation("an unknown message type or an invalid length");
         }
         ctx.close();
     }
 
-    /** The load report that a probe or an answer brought. */
+    /** The load report in a response; fromRow: a probe's, whose report is the value of its row. */
     static LoadReport parseLoadReport(Dispatcher dispatcher, Response response, boolean fromRow) {
         String text = response.loadReport;
         if (fromRow && response.frames.size() == 3) {
