--- a/src/main/java/reedquay/net/Pool.java
+++ b/src/main/java/reedquay/net/Pool.java
@@ -12,7 +12,10 @@
 import reedquay.core.Member;
 import reedquay.core.Outcome;
 
-/** The connections to one member. The one used last goes out first, so that the others fall idle. */
+/**
+ * The connections to one member. The most recently used one is taken first, so that surplus connections reach their
+ * idle timeout. Times in nanoseconds.
+ */
 final class Pool {
     final Member member;
     private final Dispatcher dispatcher;
@@ -30,7 +33,7 @@
         this.bootstrap = bootstrap;
     }
 
-    /** What the list says of the member's process; connections to an earlier one are of no use. */
+    /** Takes address and process start from the member list; idle connections to an earlier process are closed. */
     void updateLocation(InetSocketAddress newAddress, long newStartedAt) {
         if (!newAddress.equals(address) || newStartedAt > startedAt) {
             closeAllIdle("moved");
@@ -39,10 +42,10 @@
         startedAt = Math.max(startedAt, newStartedAt);
     }
 
-    /** Sends at once on an idle connection, else when the next one is ready. */
+    /** Sends a request on an idle connection, or else on the next one that is ready. */
     void submit(MemberRequest request) {
         MemberConnection connection = idle.pollFirst();
-        while (connection != null && !connection.isClean()) { // guards against a surplus that came while it was idle
+        while (connection != null && !connection.isClean()) { // data came while it was idle
             connection.close();
             connection = idle.pollFirst();
         }
@@ -61,7 +64,7 @@
 
     private boolean openConnection() {
         if (address == null || !dispatcher.limits.canOpenMemberConnection() && !dispatcher.closeAnyIdleConnection()) {
-            return false; // no list has said where, or no descriptor is left
+            return false; // no address is known, or no descriptor is left
         }
         dispatcher.limits.memberConnectionOpened();
         dispatcher.counters.add("member.opened");
@@ -81,11 +84,12 @@
         return true;
     }
 
+    /** A connection has completed its startup. */
     void connectionOpened() {
         openingCount--;
     }
 
-    /** A connection has come up or has become free. */
+    /** Gives a connection that is open and free to the request that has waited longest, or keeps it idle. */
     void connectionReady(MemberConnection connection) {
         MemberRequest next = pendingRequests.pollFirst();
         if (next == null) {
@@ -112,7 +116,7 @@
         }
     }
 
-    /** Takes back what has not been written; its connection serves another. */
+    /** Cancels a request that has not been written; a connection reserved for it goes to the next request. */
     void withdraw(MemberRequest request) {
         MemberConnection reserved = request.connection;
         if (reserved == null) {
@@ -125,7 +129,7 @@
         connectionReady(reserved);
     }
 
-    /** Closes the connection that has been idle longest, as long as it is one since before the given time. */
+    /** Closes the connection that has been idle longest, if it became idle before the given time. */
     boolean closeOldestIdle(long idleBefore, String reason) {
         MemberConnection oldest = idle.peekLast();
         if (oldest == null || oldest.idleSince >= idleBefore) {
@@ -140,7 +144,7 @@
         while (closeOldestIdle(Long.MAX_VALUE, reason)) { }
     }
 
-    /** Ends what has taken too long: to come up, to answer, or without work. */
+    /** Closes connections that exceeded a timeout: while opening, on a request, or idle. */
     void sweep(long now, long connectTimeout, long idleTimeout) {
         while (closeOldestIdle(now - idleTimeout, "idle")) { }
         for (MemberConnection connection : new ArrayList<>(connections)) {
