--- a/src/main/java/reedquay/net/Gateway.java
+++ b/src/main/java/reedquay/net/Gateway.java
@@ -26,14 +26,17 @@
 import reedquay.core.Settings;
 import reedquay.route.Router;
 
-/** A gateway on sockets: built from a configuration, started, given a new one, stopped. It runs on one event loop. */
+/**
+ * A running proxy: accepts clients, follows discovery and connects to members. It is built from a configuration,
+ * started, possibly reloaded, and stopped. All its state is used on one event loop. Times in nanoseconds.
+ */
 public final class Gateway {
     private static final int BACKLOG = 1024;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
     private final Configuration configuration;
-    private final ClientIdentifier clientIdentifier; // null: nobody asks who calls
+    private final ClientIdentifier clientIdentifier; // null where only tenants are told apart
     private final MonotonicClock clock = new MonotonicClock();
     private final Counters counters = new Counters();
     private final Limits limits;
@@ -43,35 +46,35 @@
     private final long sweepInterval;
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
     private final Set<ClientSession> startedSessions = new LinkedHashSet<>(); // their startup has come
-    private final Set<ClientSession> unusedSessions = new LinkedHashSet<>(); // they have asked nothing, the oldest first
-    private final Set<ClientSession> idleSessions = new LinkedHashSet<>(); // the longest free one first
+    private final Set<ClientSession> unusedSessions = new LinkedHashSet<>(); // no message after the startup yet
+    private final Set<ClientSession> idleSessions = new LinkedHashSet<>(); // between statements, longest idle first
     private final List<Runnable> readinessCallbacks = new ArrayList<>();
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final long startedAt = clock.now();
     private long lastSweepAt = startedAt;
     private boolean ready;
     private boolean stopRequested;
-    private boolean stopping; // it ends with its last session
+    private boolean stopping; // accepts no more; terminates with its last session
     private boolean listening;
     private Channel listener;
-    private InetSocketAddress discoveryAddress; // where discovery is now
+    private InetSocketAddress discoveryAddress; // as of the last reload
 
-    /** Throws IllegalArgumentException where the settings are unfit. */
+    /** A gateway with the standard components. Throws IllegalArgumentException where the settings are invalid. */
     public Gateway(Configuration configuration) {
         this(configuration, new GatewayComponents(Router::new, null));
     }
 
-    /** The same with other parts, as stages before the Router. */
+    /** A gateway with other components, such as stages before the Router. */
     public Gateway(Configuration configuration, GatewayComponents components) {
         this.configuration = configuration;
         clientIdentifier = components.clientIdentifier();
         limits = new Limits(configuration.sockets(), configuration.memoryMb());
-        int connectMillis = 60_000; // never reached: the pool's sweep ends what does not come up in time
+        int connectMillis = 60_000; // never reached: the pool's sweep applies the connect timeout
         Bootstrap bootstrap = new Bootstrap().group(group).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis);
-        dispatcher = new Dispatcher(loop, bootstrap, clock, limits, counters, configuration.settings(), configuration.seed(),
-                components.deciderFactory());
+        dispatcher = new Dispatcher(loop, bootstrap, clock, limits, counters, configuration.settings(),
+                configuration.seed(), components.engineFactory());
         discovery = new DiscoveryClient(dispatcher, bootstrap, loop);
         discoveryAddress = configuration.discovery();
         long keepalive = configuration.settings().keepaliveTimeout();
@@ -83,7 +86,7 @@
         counters.gauge("client.partialbytes", limits::partialBytes);
     }
 
-    /** Listens and follows discovery; the future is the address that clients connect to. */
+    /** Starts to listen and to follow discovery; the future is the address that clients connect to. */
     public CompletableFuture<InetSocketAddress> start() {
         CompletableFuture<InetSocketAddress> bound = new CompletableFuture<>();
         loop.execute(() -> {
@@ -116,6 +119,7 @@
         return bound;
     }
 
+    /** Applies all timeouts, at intervals of sweepInterval. */
     private void sweep() {
         if (stopped.isDone()) {
             return;
@@ -126,7 +130,8 @@
         discovery.closeSilentWatches();
         checkReady(now);
         lastSweepAt = now;
-        int sessionsToResume = limits.isMemoryFull() ? 0 : limits.remainingMessages(); // guards against all of them at once
+        // bounded: resumed all at once, the sessions would exceed the memory again
+        int sessionsToResume = limits.isMemoryFull() ? 0 : limits.remainingMessages();
         for (ClientSession session : new ArrayList<>(sessions)) {
             session.sweep(now, dispatcher.settings().capabilities().connectTimeout());
             if (sessionsToResume > 0 && session.isPausedForMemory()) {
@@ -146,12 +151,12 @@
         }
     }
 
-    /** How long a start may take before clients are let in whatever is missing. */
+    /** How long a start may take before clients are served whatever is missing. */
     static long startupTimeout(Settings settings) {
         return 8 * settings.capabilities().connectTimeout();
     }
 
-    /** Runs it at once, or when this gateway has heard enough to decide. */
+    /** Runs the callback once the member list and the results of the first probes are there, or startupTimeout ends. */
     void whenReady(Runnable callback) {
         if (ready) {
             callback.run();
@@ -160,11 +165,11 @@
         }
     }
 
-    // ---- New configurations ----
+    // ---- Reload ----
 
     /**
-     * Reads a configuration that replaced the one this gateway runs with, on the caller's thread, and takes it on.
-     * Guards the gateway that runs: a file that is missing, half written or unfit changes nothing.
+     * Reads a new configuration, on the caller's thread, and applies it. A file that is missing, incomplete or invalid
+     * changes nothing; the future is false then.
      */
     public CompletableFuture<Boolean> reload(Path file) {
         try {
@@ -172,13 +177,13 @@
         } catch (IOException | RuntimeException e) {
             return submitToEventLoop(() -> {
                 counters.add("reload.unfit");
-                dispatcher.log("a new configuration cannot be used, the running one stays: " + e.getMessage());
+                dispatcher.log("the new configuration is invalid, keeping the running one: " + e.getMessage());
                 return false;
             });
         }
     }
 
-    /** Takes on what can change while running; false where something in it needs a restart, which is logged. */
+    /** Applies what can change while running; false where some change needs a restart, which is logged. */
     public CompletableFuture<Boolean> reload(Configuration next) {
         return submitToEventLoop(() -> {
             counters.add("reload");
@@ -190,13 +195,14 @@
             String unchangeable = configuration.changesNeedingRestart(next);
             if (!unchangeable.isEmpty()) {
                 counters.add("reload.restart");
-                dispatcher.log("the new configuration has another " + unchangeable + ": that needs a restart and is passed over");
+                dispatcher.log("the new configuration changes " + unchangeable
+                        + ": this needs a restart and is ignored");
             }
             return unchangeable.isEmpty();
         });
     }
 
-    /** Has a change to its parts made on its own thread; false once it has stopped. */
+    /** Runs a change to the gateway's components on its event loop; false once it has stopped. */
     public CompletableFuture<Boolean> runOnEventLoop(Runnable change) {
         return submitToEventLoop(() -> {
             change.run();
@@ -204,18 +210,18 @@
         });
     }
 
-    /** False, and nothing is run, once this gateway has stopped. */
+    /** Runs the change on the event loop; false, with nothing run, once this gateway has stopped. */
     private CompletableFuture<Boolean> submitToEventLoop(Supplier<Boolean> change) {
         CompletableFuture<Boolean> result = new CompletableFuture<>();
         try {
             loop.execute(() -> result.complete(change.get()));
         } catch (RejectedExecutionException e) {
-            result.complete(false); // the loop has ended: there is nothing left to change
+            result.complete(false); // the event loop has ended
         }
         return result;
     }
 
-    /** The table of that name, its column names first; null where there is none. Read on the event loop. */
+    /** The table for SHOW of that name, column names first; null where there is none. Called on the event loop. */
     List<String[]> showTable(String name) {
         if (!name.equals("discovery")) {
             return dispatcher.showTable(name);
@@ -231,6 +237,7 @@
 
     // ---- Sessions ----
 
+    /** Registers a session, and closes another where the soft limit is exceeded. */
     void sessionOpened(ClientSession session) {
         sessions.add(session);
         unusedSessions.add(session);
@@ -241,15 +248,16 @@
         updateAccepting();
     }
 
-    /** It has sent its startup. */
+    /** The session has sent its startup message. */
     void startupReceived(ClientSession session) {
         startedSessions.add(session);
         closeExcessSessions(session);
     }
 
     /**
-     * Guards against clients that open a connection for each RPC and leave it open: they fill the share of the
-     * descriptors that a front allows itself, and it turns RPCs away while nearly all its connections stand free here.
+     * Closes sessions while more than the soft limit are started. Prevents a front from turning RPCs away, which
+     * happens when clients open a connection for each RPC and leave it open: the connections use up the descriptors
+     * that the front allows itself, although nearly all of them are idle here.
      */
     private void closeExcessSessions(ClientSession keep) {
         boolean closed = true;
@@ -259,19 +267,22 @@
     }
 
     /**
-     * The oldest that has long asked nothing: guards the usual clients against hundreds that say nothing. Else the one
-     * longest free. One that has just come is neither: its first statement may lie unread, and it would come again.
+     * The oldest session that has sent no message for the length of the connect timeout, so that hundreds of silent
+     * clients can't displace those that work; else the session that has been idle longest, null for none. A session
+     * that has just connected is neither: its first statement may not have been read yet, and it would reconnect.
      */
     private ClientSession sessionToClose() {
         ClientSession oldest = firstOf(unusedSessions);
-        boolean silent = oldest != null && clock.now() - oldest.connectedAt() >= dispatcher.settings().capabilities().connectTimeout();
-        return silent ? oldest : firstOf(idleSessions);
+        boolean sentNothing = oldest != null
+                && clock.now() - oldest.connectedAt() >= dispatcher.settings().capabilities().connectTimeout();
+        return sentNothing ? oldest : firstOf(idleSessions);
     }
 
     private static ClientSession firstOf(Set<ClientSession> ordered) {
         return ordered.isEmpty() ? null : ordered.iterator().next();
     }
 
+    /** Closes the session, unless it is null or the one to keep; whether it was closed. */
     private boolean closeToFreeDescriptor(ClientSession session, ClientSession keep) {
         if (session == null || session == keep) {
             return false;
@@ -296,7 +307,7 @@
         }
     }
 
-    /** It has sent something behind its startup. */
+    /** The session has sent a message after its startup. */
     void commandReceived(ClientSession session) {
         unusedSessions.remove(session);
     }
@@ -305,7 +316,7 @@
         return lastSweepAt;
     }
 
-    /** Guards the memory: where messages that are not whole take too much of it, the longest of them goes. */
+    /** Counts bytes of incomplete messages; where they take too much memory, the longest such message is rejected. */
     void addPartialBytes(int bytes) {
         limits.addPartialBytes(bytes);
         if (bytes > 0 && limits.isPartialMemoryFull()) {
@@ -315,6 +326,7 @@
         }
     }
 
+    /** Notes whether the session is between statements, which makes it a candidate for closing. */
     void setIdle(ClientSession session, boolean isIdle) {
         idleSessions.remove(session);
         if (isIdle && sessions.contains(session) && !unusedSessions.contains(session)) {
@@ -323,7 +335,7 @@
         }
     }
 
-    /** Guards the descriptors: what the limit leaves no room for waits in the backlog. */
+    /** Accepts connections only below the limit on descriptors; further ones wait in the listen backlog. */
     private void updateAccepting() {
         if (listener != null && listening) {
             listener.config().setAutoRead(limits.openClients() < limits.maxClients);
@@ -333,8 +345,9 @@
     // ---- Shutdown ----
 
     /**
-     * Takes new sessions for as long as clients still come, and serves those it has while an answer can be in time
-     * before the kill: guards the clients while another gateway is restarting too. Done when all is closed.
+     * Shuts down in order: accepts new sessions for as long as clients still connect, and serves open ones while an
+     * answer can be in time before the process is killed, since another gateway may be restarting at the same time.
+     * The future completes when everything is closed.
      */
     public CompletableFuture<Void> stop() {
         if (stopped.isDone()) {
@@ -346,17 +359,18 @@
             }
             stopRequested = true;
             List<Method> methods = dispatcher.settings().methods();
-            long killDeadline = Shutdown.maxDurationNanos(methods.stream().mapToLong(Method::deadline).max().orElse(0));
+            long maxDuration = Shutdown.maxDurationNanos(methods.stream().mapToLong(Method::deadline).max().orElse(0));
             long shortestSoftDeadline = methods.stream().mapToLong(Method::softDeadline).min().orElse(0);
-            dispatcher.answerAllBy(clock.now() + killDeadline - sweepInterval);
+            dispatcher.answerAllBy(clock.now() + maxDuration - sweepInterval);
             loop.schedule(this::stopAccepting, Shutdown.ACCEPT_NANOS, TimeUnit.NANOSECONDS);
-            loop.schedule(this::drainSessions, Math.max(Shutdown.ACCEPT_NANOS, killDeadline - shortestSoftDeadline), TimeUnit.NANOSECONDS);
-            loop.schedule(this::terminate, killDeadline, TimeUnit.NANOSECONDS);
+            loop.schedule(this::drainSessions, Math.max(Shutdown.ACCEPT_NANOS, maxDuration - shortestSoftDeadline),
+                    TimeUnit.NANOSECONDS);
+            loop.schedule(this::terminate, maxDuration, TimeUnit.NANOSECONDS);
         });
         return stopped;
     }
 
-    /** What lies in the backlog by now is accepted whatever the limit; the sessions there are go on. */
+    /** Accepts what is in the backlog by now, whatever the limit, and then closes the listener; sessions go on. */
     private void stopAccepting() {
         listening = false;
         stopping = true;
@@ -367,7 +381,7 @@
         loop.schedule(this::checkStopped, sweepInterval, TimeUnit.NANOSECONDS);
     }
 
-    /** Ends at once, whatever is in hand. */
+    /** Stops at once, whatever is in flight; blocks until then. */
     void halt() {
         loop.execute(this::terminate);
         stopped.join();
@@ -398,7 +412,7 @@
         stopped.complete(null);
     }
 
-    /** What was taken in, sent and answered so far. */
+    /** The current value of every counter, by name. */
     public CompletableFuture<Map<String, Long>> counters() {
         CompletableFuture<Map<String, Long>> all = new CompletableFuture<>();
         if (loop.isShuttingDown()) {
--- a/src/main/java/reedquay/net/GatewayComponents.java
+++ b/src/main/java/reedquay/net/GatewayComponents.java
@@ -5,5 +5,9 @@
 import reedquay.core.RoutingActions;
 import reedquay.core.Settings;
 
-/** What a gateway is made of beside its configuration: the decisions with what stands before them, who is a client. */
-public record GatewayComponents(BiFunction<Settings, RoutingActions, RoutingEngine> deciderFactory, ClientIdentifier clientIdentifier) { }
+/**
+ * The replaceable parts of a gateway. engineFactory: makes the routing engine, with any stages before it;
+ * clientIdentifier: how clients are told apart, null where only their tenants are.
+ */
+public record GatewayComponents(BiFunction<Settings, RoutingActions, RoutingEngine> engineFactory,
+        ClientIdentifier clientIdentifier) { }
