--- a/src/main/java/reedquay/net/ClientIdentifier.java
+++ b/src/main/java/reedquay/net/ClientIdentifier.java
@@ -1,21 +1,25 @@
 package reedquay.net;
 
-/** How clients are told apart: what a session or its statement says of who calls. */
+/**
+ * Identifies the client of an RPC from its connection or its statement. parameter: the name of the startup parameter;
+ * empty for all other kinds.
+ */
 public record ClientIdentifier(Kind kind, String parameter) {
+    /** What identifies a client; the constants in lower case are values of the setting fair.client. */
     public enum Kind {
-        /** The quoted key that names a statement's session. */
+        /** The first quoted value of the statement, which names its session. */
         KEY,
         /** The connection. */
         CONNECTION,
-        /** The address that the connection comes from, without its port. */
+        /** The client's IP address, without the port. */
         ADDRESS,
-        /** A parameter of the startup message. */
+        /** A parameter of the connection's startup message. */
         PARAMETER,
-        /** Nothing but the tenant. */
+        /** The tenant alone. */
         TENANT
     }
 
-    /** Null where nothing is known but the tenant. */
+    /** The client's id, unique within its kind; null where only the tenant is known. */
     String identify(ClientSession session, Statement statement) {
         return switch (kind) {
             case KEY -> statement.session;
--- a/src/main/java/reedquay/net/Counters.java
+++ b/src/main/java/reedquay/net/Counters.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 
-/** Counts by name what a gateway takes in, sends and answers; used on its event loop alone. */
+/** The counters and gauges of a gateway, by name; used on its event loop alone. */
 public final class Counters {
     private static final long[] DELAY_BOUNDS_MILLIS = {2, 5, 20, 100};
     private static final String[] DELAY_COUNTERS = {"loop.late.to2ms", "loop.late.to5ms", "loop.late.to20ms",
@@ -21,7 +21,7 @@
         counts.computeIfAbsent(name, n -> new long[1])[0] += by;
     }
 
-    /** How late a timer of the event loop rang, in a few coarse bins. */
+    /** Counts by how many nanoseconds a timer of the event loop fired late, in a few coarse bins. */
     void recordTimerDelay(long nanos) {
         int bin = 0;
         while (bin < DELAY_BOUNDS_MILLIS.length && nanos >= DELAY_BOUNDS_MILLIS[bin] * 1_000_000) {
@@ -30,12 +30,12 @@
         add(DELAY_COUNTERS[bin]);
     }
 
-    /** What is read when the counters are asked for. */
+    /** Registers a value that is read with each snapshot. */
     void gauge(String name, LongSupplier value) {
         gauges.put(name, value);
     }
 
-    /** What must hold: asserted in debug builds, counted in release builds. */
+    /** Checks an invariant: asserts it where assertions are on, and else counts a violation as broken.INVARIANT. */
     void check(boolean condition, String invariant) {
         assert condition : invariant;
         if (!condition) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** All of them now, in the order of their names. */
+    /** All counters and gauges now, in the order of their names. */
     public Map<String, Long> snapshot() {
         Map<String, Long> all = new TreeMap<>();
         counts.forEach((name, count) -> all.put(name, count[0]));
--- a/src/main/java/reedquay/net/Limits.java
+++ b/src/main/java/reedquay/net/Limits.java
@@ -2,18 +2,19 @@
 
 import reedquay.pg.Frame;
 
-/** How many of what may be open or held, derived from the limits told. */
+/** Limits on open connections and on memory for messages, derived from the configured limits, and the current use. */
 final class Limits {
-    static final int MAX_MESSAGE_BYTES = 256 * 1024; // a value of 64 KiB in hex, and its statement
-    static final long UNUSED_TIMEOUT_NANOS = 2_000_000_000; // after that a connection without an open RPC may be closed
-    private static final int MESSAGE_OVERHEAD_BYTES = 128; // what a message costs beside its bytes
-    private static final int RESERVED_DESCRIPTORS = 64; // descriptors of the process itself: jars, selectors, logs, discovery
+    static final int MAX_MESSAGE_BYTES = 256 * 1024; // fits a statement with a value of 64 KiB in hex
+    static final long UNUSED_TIMEOUT_NANOS = 2_000_000_000; // then a connection without an open RPC may be closed
+    private static final int MESSAGE_OVERHEAD_BYTES = 128; // memory of a message beside its bytes
+    private static final int RESERVED_DESCRIPTORS = 64; // for the process itself: jars, selectors, logs, discovery
 
     final int maxClients;
     final int clientsSoftLimit; // above this, sessions between RPCs are closed
-    final int startedSessionsSoftLimit; // the same for those that have spoken: clients use a third of the descriptors for RPCs
+    /** The same for sessions whose startup has come: clients use a third of the descriptors for RPCs. */
+    final int startedSessionsSoftLimit;
     final int maxMemberConnections;
-    final int maxQueuedBytes; // what one client may send ahead
+    final int maxQueuedBytes; // of one client's pipelined messages
     private int openClients;
     private int openMemberConnections;
     private final long maxHeldBytes;
@@ -30,6 +31,7 @@
         maxQueuedBytes = (int) Math.min(2 * MAX_MESSAGE_BYTES, maxHeldBytes / maxClients);
     }
 
+    /** Counts a new client connection; whether the soft limit is exceeded. */
     boolean clientOpened() {
         return ++openClients > clientsSoftLimit;
     }
@@ -47,17 +49,17 @@
         heldBytes += bytes;
     }
 
-    /** Guards the memory told: above this nothing more is read from clients. */
+    /** Whether held messages take more than their share of the configured memory; nothing is read from clients then. */
     boolean isMemoryFull() {
         return heldBytes > maxHeldBytes;
     }
 
-    /** Counts the bytes of clients' messages that are not whole yet. */
+    /** Counts the bytes of clients' messages that have not come completely. */
     void addPartialBytes(int bytes) {
         partialBytes += bytes;
     }
 
-    /** Guards the memory told against messages that are begun and never ended. */
+    /** Whether incomplete messages, which may never be completed, take more than their share of that memory. */
     boolean isPartialMemoryFull() {
         return partialBytes > maxHeldBytes;
     }
@@ -70,7 +72,7 @@
         return frame.content().readableBytes() + MESSAGE_OVERHEAD_BYTES;
     }
 
-    /** How many further messages there is room for, one at least. */
+    /** How many further messages fit into the memory, at least one. */
     int remainingMessages() {
         return (int) Math.max(1, (maxHeldBytes - heldBytes - partialBytes) / MAX_MESSAGE_BYTES);
     }
--- a/src/main/java/reedquay/net/MonotonicClock.java
+++ b/src/main/java/reedquay/net/MonotonicClock.java
@@ -2,9 +2,10 @@
 
 import java.time.Instant;
 
-/** Unix time in nanoseconds that never goes back: the monotonic clock, led slowly after the wall's. */
+/** Unix time in nanoseconds that never goes back: the monotonic clock, slewed towards the wall clock. */
 public class MonotonicClock {
-    private static final long STEP_THRESHOLD_NANOS = 1_000_000_000; // a wall clock so far ahead was set: follow at once
+    /** A wall clock that is ahead by more than this was set, and is followed in one step. */
+    private static final long STEP_THRESHOLD_NANOS = 1_000_000_000;
     private long offset = wallTime() - System.nanoTime();
     private long last;
 
@@ -13,12 +14,13 @@
         return now.getEpochSecond() * 1_000_000_000 + now.getNano();
     }
 
+    /** The current time; never less than an earlier result. */
     public long now() {
         last = Math.max(last, System.nanoTime() + offset);
         return last;
     }
 
-    /** Corrects the drift against the wall clock by at most the given step. */
+    /** Corrects the drift against the wall clock by at most maxStep, save that a wall clock far ahead is followed. */
     void slewTowardsWallClock(long maxStep) {
         long drift = wallTime() - System.nanoTime() - offset;
         offset += drift > STEP_THRESHOLD_NANOS ? drift : Math.max(-maxStep, Math.min(maxStep, drift));
--- a/src/main/java/reedquay/net/Trace.java
+++ b/src/main/java/reedquay/net/Trace.java
@@ -7,9 +7,9 @@
 import reedquay.core.Rpc;
 
 /**
- * The way of each RPC through this gateway, a line an event with the RPC's id first, where the logger takes debug
- * lines when the gateway is made; else no line is made. Ids are those of the wire, so that one RPC and its client's
- * further tries can be followed through the logs of many gateways.
+ * Debug log of the events of each RPC, one line per event, with the RPC's id first. Enabled where the logger takes
+ * debug lines when the gateway is created; otherwise no line is built. Ids are those of the wire, so that an RPC and
+ * its client's retries can be followed through the logs of many gateways.
  */
 final class Trace {
     private static final System.Logger LOG = System.getLogger("reedquay.trace");
@@ -42,14 +42,14 @@
         }
     }
 
-    /** why: what the decisions went by, asked only where it is wanted. */
+    /** reason: what the routing engine based its decision on; empty for none. */
     void rpcEnded(Rpc rpc, String outcome, String reason) {
         if (enabled) {
             line(id(rpc) + " " + outcome + (reason.isEmpty() ? "" : ": " + reason));
         }
     }
 
-    /** Guards the reader of a log against guessing when this gateway was told: only what is not up is of interest. */
+    /** Logs when this gateway was notified of members that are not UP. */
     void membersListed(List<ListedMember> entries) {
         if (enabled) {
             entries.stream().filter(e -> e.phase() != ListedMember.Phase.UP)
