--- a/src/main/java/reedquay/net/Configuration.java
+++ b/src/main/java/reedquay/net/Configuration.java
@@ -18,15 +18,19 @@
 import java.util.TreeMap;
 import reedquay.core.SettingsReader;
 
-/** What a gateway is told before it starts. */
+/**
+ * The configuration of a gateway. rememberedMembers: the member list as discovery last sent it before this start, null
+ * for none; memoryMb: the memory limit, in MiB; sockets: the limit on file descriptors.
+ */
 public record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
         int memoryMb, int sockets, JsonObject rememberedMembers, SettingsReader settings) {
 
-    /** Reads the JSON file that the platform writes. Throws IllegalArgumentException where it is unfit. */
+    /** Reads the JSON file that the platform writes. Throws IllegalArgumentException where it is invalid. */
     public static Configuration read(Path file) throws IOException {
         return parse(Files.readString(file));
     }
 
+    /** Parses the JSON text of a configuration. Throws IllegalArgumentException where it is invalid. */
     public static Configuration parse(String json) {
         try {
             JsonObject root = JsonParser.parseString(json).getAsJsonObject();
@@ -42,11 +46,11 @@
                     root.has("known") && root.get("known").isJsonObject() ? root.getAsJsonObject("known") : null,
                     new SettingsReader(pairs));
         } catch (JsonParseException | IllegalStateException | NumberFormatException | ClassCastException e) {
-            throw new IllegalArgumentException("the configuration is not as expected: " + e.getMessage(), e);
+            throw new IllegalArgumentException("the configuration is malformed: " + e.getMessage(), e);
         }
     }
 
-    /** What the next one changes that a running gateway cannot, in words; empty for nothing. */
+    /** The keys that the next configuration changes and that need a restart, separated by commas; empty for none. */
     String changesNeedingRestart(Configuration next) {
         List<String> changed = new ArrayList<>();
         if (!name.equals(next.name)) {
@@ -66,26 +70,26 @@
 
     private static JsonElement required(JsonObject object, String name) {
         if (!object.has(name)) {
-            throw new IllegalArgumentException("the configuration lacks " + name);
+            throw new IllegalArgumentException("the configuration has no key " + name);
         }
         return object.get(name);
     }
 
-    /** host:port; the host is an address, nothing is looked up. */
+    /** Parses host:port, where the host is an IP address; no name is resolved. */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0) {
             throw new IllegalArgumentException("expected host:port instead of " + text);
         }
-        // guards the event loop: a name would be looked up, and block it
+        // a name is refused, since resolving it would block the event loop
         InetAddress host = NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
         if (host == null) {
-            throw new IllegalArgumentException("expected an address instead of a name in " + text);
+            throw new IllegalArgumentException("expected an IP address instead of a name in " + text);
         }
         return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** Nested values as pairs of path and value, in the form of the simulator's first message. */
+    /** Flattens nested values to pairs of path and value, in the form of the simulator's SPAWN message. */
     private static void flatten(String path, JsonElement value, Map<String, String> pairs) {
         if (value.isJsonObject()) {
             value.getAsJsonObject().entrySet().forEach(e ->
--- a/src/main/java/reedquay/net/Statement.java
+++ b/src/main/java/reedquay/net/Statement.java
@@ -15,9 +15,9 @@
 import reedquay.pg.Frame;
 import reedquay.pg.Messages;
 
-/** The bytes of a client's statement and the fields that its leading comment holds. */
+/** A client's statement: its bytes, and the fields parsed from its leading comment. */
 final class Statement {
-    /** A statement that cannot be routed; the message is for the client. */
+    /** A statement that cannot be routed; the message is sent to the client. */
     static final class InvalidStatementException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -26,7 +26,7 @@
         }
     }
 
-    private static final int MAX_NUMBER_DIGITS = 9; // of the time to wait: eleven days
+    private static final int MAX_NUMBER_DIGITS = 9; // as milliseconds to wait: eleven days
     private static final int MAX_COMMENT_BYTES = 1024;
     private static final Pattern TOKEN = Pattern.compile("[0-9A-Za-z_-]{1,64}");
     private static final List<String> WRITE_VERBS = List.of("INSERT", "UPDATE", "DELETE");
@@ -39,14 +39,14 @@
     final int group;
     final long waitMillis;
     final boolean retry;
-    /** The position that a read must see, in Unix milliseconds; 0 where there is none. */
+    /** The position that a read must have seen, in Unix milliseconds; 0 for none. */
     final long minPositionMillis;
     private final String token;
-    private final int sqlOffset; // where the comment has ended
+    private final int sqlOffset; // the end of the comment, in the body
     private final int waitDigitsStart;
     private final int waitDigitsEnd;
 
-    /** Borrows the frame: whoever made the statement releases it. */
+    /** Parses the frame, which the caller goes on to own. Throws InvalidStatementException with the first error. */
     Statement(Frame frame) throws InvalidStatementException {
         this.frame = frame;
         ByteBuf content = frame.content();
@@ -106,8 +106,9 @@
     }
 
     /**
-     * What a member would close its connection on, whatever waits there, is found here: bytes that are no text, more
-     * or less than one statement, a quote that does not end, no key. Returns the key, the first text in quotes.
+     * Checks that the body is one statement, and returns its key, the first text in quotes. Finds what a member would
+     * close its connection on, with all that waits there: bytes that are not text, more or less than one statement, an
+     * unterminated quote, no key.
      */
     private String parseSingleStatement() throws InvalidStatementException {
         ByteBuf content = frame.content();
@@ -118,7 +119,8 @@
         }
         Scan scan = new Scan();
         boolean complete = content.forEachByte(start, end - start, scan) < 0;
-        boolean isText = complete ? scan.ascii || ByteBufUtil.isText(content, start, end - start, StandardCharsets.UTF_8) : scan.ended;
+        boolean isText = complete
+                ? scan.ascii || ByteBufUtil.isText(content, start, end - start, StandardCharsets.UTF_8) : scan.ended;
         if (!isText) {
             throw new InvalidStatementException("expected text");
         } else if (!complete) {
@@ -129,10 +131,10 @@
         return content.toString(start + scan.keyStart, scan.keyEnd - scan.keyStart, StandardCharsets.UTF_8);
     }
 
-    /** One pass over a statement's bytes; stops where a byte is no text, or comes behind the statement's end. */
+    /** One pass over a statement's bytes; stops at a control character, or at a byte after the statement's end. */
     private static final class Scan implements ByteProcessor {
         boolean quoted, ended, ascii = true;
-        int keyStart = -1; // where the first text in quotes begins
+        int keyStart = -1; // of the first text in quotes
         int keyEnd = -1;
         private int offset = -1;
 
@@ -156,7 +158,7 @@
         }
     }
 
-    /** Whether it is what calls of this method are. */
+    /** Throws InvalidStatementException where the statement does not have the form that RPCs of this method have. */
     void validateFor(Method method) throws InvalidStatementException {
         ByteBuf content = frame.content();
         int start = frame.bodyStart() + sqlOffset;
@@ -191,7 +193,8 @@
 
     private static long parseNumber(String text, String name) throws InvalidStatementException {
         if (text.isEmpty() || text.length() > MAX_NUMBER_DIGITS || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new InvalidStatementException("expected a number of at most " + MAX_NUMBER_DIGITS + " digits in " + name);
+            throw new InvalidStatementException("expected a number of at most " + MAX_NUMBER_DIGITS + " digits in "
+                    + name);
         }
         return Long.parseLong(text);
     }
@@ -203,7 +206,7 @@
         return Long.parseLong(text);
     }
 
-    /** The statement as it goes to a member: the bytes that came, but for how long this side will wait. */
+    /** The Query for a member: the bytes as they came, with millis as the time that this gateway will wait. */
     ByteBuf queryForMember(ByteBufAllocator allocator, long millis) {
         return Messages.query(allocator, frame, waitDigitsStart, waitDigitsEnd, millis);
     }
--- a/src/main/java/reedquay/net/WarmUp.java
+++ b/src/main/java/reedquay/net/WarmUp.java
@@ -28,19 +28,20 @@
 import reedquay.pg.Messages;
 
 /**
- * RPCs through a gateway of the same settings before the true one starts, to members that answer at once, all within
- * this process and on its own address. Guards the first seconds in service: on part of a core the JVM takes seconds to
- * compile what serving needs. A class archive made meanwhile makes the next start quick.
+ * Warms up the JVM before a gateway starts: sends RPCs through another gateway with the same settings to members that
+ * answer at once, all within this process and on its own address. Prevents a slow start of service, which happens when
+ * the JVM has only part of a core and takes seconds to compile what serving needs. A class archive that is written
+ * during the run also makes the next start quicker.
  */
 public final class WarmUp {
     private static final int CLIENTS = 8;
-    private static final int ROUNDS = 64; // each client sends one RPC of each method a round
+    private static final int ROUNDS = 64; // in each, every client sends one RPC of each method
 
     private WarmUp() { }
 
     /**
-     * config: the JSON text of a fit configuration. Ends early where it takes as long as a start may wait. Returns the
-     * counters of the gateway that rehearsed.
+     * Runs the warm-up and returns the counters of its gateway. config: the JSON text of a valid configuration. Ends
+     * early after the time that a gateway's start may take.
      */
     public static Map<String, Long> run(String config) throws IOException {
         JsonObject root = JsonParser.parseString(config).getAsJsonObject();
@@ -83,7 +84,8 @@
                 Socket client = new Socket(gatewayAddress.getAddress(), gatewayAddress.getPort());
                 client.setSoTimeout((int) (Gateway.startupTimeout(settings) / 1_000_000));
                 clients.add(client);
-                client.getOutputStream().write(bytes(Messages.startupMessage(Unpooled.buffer(), "rehearsal", "rehearsal")));
+                client.getOutputStream().write(
+                        bytes(Messages.startupMessage(Unpooled.buffer(), "rehearsal", "rehearsal")));
                 awaitReadyForQuery(client, 1);
             }
             int id = 0;
@@ -114,7 +116,7 @@
         return bytes;
     }
 
-    /** Reads up to that many ReadyForQuery. */
+    /** Reads from the client's connection until that many ReadyForQuery have come. */
     private static void awaitReadyForQuery(Socket client, int count) throws IOException {
         DataInputStream in = new DataInputStream(client.getInputStream());
         for (int remaining = count; remaining > 0; ) {
@@ -127,7 +129,8 @@
         Channel listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(FrameDecoder.forClient(Limits.MAX_MESSAGE_BYTES), new ImmediateMember(primary));
+                        channel.pipeline().addLast(FrameDecoder.forClient(Limits.MAX_MESSAGE_BYTES),
+                                new ImmediateMember(primary));
                     }
                 }).bind(host, 0).syncUninterruptibly().channel();
         return ((InetSocketAddress) listener.localAddress()).getPort();
@@ -156,7 +159,7 @@
         }
 
         @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close(); // the watch on discovery comes here, since the rehearsal has none
+            ctx.close(); // the discovery watch ends here too: its address is a member's, since there is no discovery
         }
     }
 }
