--- a/src/main/java/reedquay/pg/Frame.java
+++ b/src/main/java/reedquay/pg/Frame.java
@@ -6,16 +6,22 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One message of protocol version 3 as the bytes that came; content() is all of it, type and length too. */
+/**
+ * One message of the PostgreSQL protocol, version 3, as the bytes that came. content() is the whole message, its type
+ * and length included; offsets in the body count from behind these.
+ */
 public final class Frame extends DefaultByteBufHolder {
-    /** The type of a message that has none: the first of a connection. */
+    /** Stands for the type of a message that has none: the first ones that a client sends on a connection. */
     public static final byte UNTYPED = 0;
-    public static final int PROTOCOL_VERSION_3 = 196608, SSL_REQUEST = 80877103, GSS_ENCRYPTION_REQUEST = 80877104, CANCEL_REQUEST = 80877102;
-    private static final int HEADER_BYTES = 5;
-    private static final int COLUMN_DESCRIPTOR_BYTES = 18; // what describes a column, behind its name
+    /** Codes that untyped messages begin with. */
+    public static final int PROTOCOL_VERSION_3 = 196608, SSL_REQUEST = 80877103, GSS_ENCRYPTION_REQUEST = 80877104,
+            CANCEL_REQUEST = 80877102;
+    private static final int HEADER_BYTES = 5; // type and length
+    private static final int COLUMN_DESCRIPTOR_BYTES = 18; // of a RowDescription, behind the column's name
 
     public final byte type;
 
+    /** type: UNTYPED for a message without a type; whole: the message with type and length. */
     public Frame(byte type, ByteBuf whole) {
         super(whole);
         this.type = type;
@@ -25,20 +31,22 @@
         return new Frame(type, content);
     }
 
-    /** Where the message's own fields begin. */
+    /** The index in content() where the message's body begins. */
     public int bodyStart() {
         return content().readerIndex() + (type == UNTYPED ? 4 : HEADER_BYTES);
     }
 
+    /** The length of the body in bytes. */
     public int bodyLength() {
         return content().readableBytes() - (type == UNTYPED ? 4 : HEADER_BYTES);
     }
 
-    /** The request code or protocol version of a first message; 0 where it is too short for one. */
+    /** The request code or protocol version of an untyped message; 0 where it is too short for one. */
     public int startupCode() {
         return bodyLength() < 4 ? 0 : content().getInt(bodyStart());
     }
 
+    /** Whether the body begins with the given ASCII text. */
     public boolean bodyStartsWith(String ascii) {
         boolean matches = bodyLength() >= ascii.length();
         for (int i = 0; matches && i < ascii.length(); i++) {
@@ -47,7 +55,7 @@
         return matches;
     }
 
-    /** Text from the given place of the body up to its zero byte, or up to the end. */
+    /** The UTF-8 string from the given offset of the body up to its zero byte, or up to the end of the body. */
     public String stringAt(int offset) {
         int start = bodyStart() + offset;
         int end = content().writerIndex();
@@ -56,8 +64,9 @@
     }
 
     /**
-     * Whether what a server sends is as the protocol has it: a description of one column, a row of one value that fits,
-     * a completion or an error whose texts end. Guards against passing on what was spoilt on its way.
+     * Whether a server's message has the form that the protocol prescribes: a RowDescription of one column, a DataRow
+     * of one value whose length fits, a CommandComplete or ErrorResponse whose strings are terminated. Keeps messages
+     * that were corrupted on their way from being passed on. Other types are not checked.
      */
     public boolean isWellFormed() {
         ByteBuf content = content();
@@ -69,7 +78,8 @@
                 int nameEnd = bodyLength() < 2 ? -1 : content.indexOf(start + 2, end, (byte) 0);
                 yield nameEnd >= 0 && content.getShort(start) == 1 && end - nameEnd - 1 == COLUMN_DESCRIPTOR_BYTES;
             }
-            case 'D' -> bodyLength() >= 6 && content.getShort(start) == 1 && content.getInt(start + 2) == bodyLength() - 6;
+            case 'D' -> bodyLength() >= 6 && content.getShort(start) == 1
+                    && content.getInt(start + 2) == bodyLength() - 6;
             case 'C' -> zero > start && zero == end - 1;
             case 'E' -> {
                 int position = start;
@@ -83,7 +93,7 @@
         };
     }
 
-    /** The fields of an ErrorResponse or notice by their one-letter names. */
+    /** The fields of an ErrorResponse or NoticeResponse by their one-letter names. */
     public Map<Character, String> errorFields() {
         Map<Character, String> fields = new HashMap<>();
         int offset = 0;
@@ -96,7 +106,7 @@
         return fields;
     }
 
-    /** The parameters of a startup message by name, the first sixteen. */
+    /** The parameters of a StartupMessage by name; those after the first sixteen are left out. */
     public Map<String, String> startupParameters() {
         Map<String, String> parameters = new HashMap<>();
         int offset = Integer.BYTES;
--- a/src/main/java/reedquay/pg/FrameDecoder.java
+++ b/src/main/java/reedquay/pg/FrameDecoder.java
@@ -6,11 +6,15 @@
 import io.netty.handler.codec.CorruptedFrameException;
 import java.util.List;
 
-/** Cuts a stream of protocol version 3 into its messages, in either direction. */
+/**
+ * Splits a byte stream of the PostgreSQL protocol, version 3, into messages, in either direction. Throws
+ * CorruptedFrameException at an unknown type or an impossible length, and discards all further input then.
+ */
 public final class FrameDecoder extends ByteToMessageDecoder {
-    private static final int MAX_UNTYPED_BYTES = 10_000; // what the protocol's own servers allow a first message
+    private static final int MAX_UNTYPED_BYTES = 10_000; // PostgreSQL's own limit for a startup message
 
-    private static final int ONE_COLUMN_ROW_HEADER_BYTES = 11; // type, length, number of columns, length of the first
+    /** Bytes of a DataRow before its first value: type, length, number of columns, length of the value. */
+    private static final int ONE_COLUMN_ROW_HEADER_BYTES = 11;
 
     private final int maxMessageBytes;
     private final String allowedTypes;
@@ -18,34 +22,37 @@
     private boolean discarding;
     private long discardedBytes;
 
-    /** first: the stream begins with messages that have no type; types: those that may come after that. */
+    /**
+     * expectsUntyped: whether the stream begins with messages that have no type; allowedTypes: the types that may come
+     * after that, a letter each; maxMessageBytes: the limit of a message's length field.
+     */
     public FrameDecoder(boolean expectsUntyped, String allowedTypes, int maxMessageBytes) {
         this.expectsUntyped = expectsUntyped;
         this.allowedTypes = allowedTypes;
         this.maxMessageBytes = maxMessageBytes;
     }
 
-    /** A stream from a client. */
+    /** A decoder for what clients send. */
     public static FrameDecoder forClient(int maxMessageBytes) {
         return new FrameDecoder(true, "QXPBDECHSFpdcf", maxMessageBytes);
     }
 
-    /** A stream from a server. */
+    /** A decoder for what servers send. */
     public static FrameDecoder forServer(int maxMessageBytes) {
         return new FrameDecoder(false, "RSKZTDCEINA123nstvGHWdcV", maxMessageBytes);
     }
 
-    /** Whether something of a message has come that is not whole, or of none. */
+    /** Whether part of a message has come that is not complete yet, or input is being discarded. */
     public boolean hasPartialMessage() {
         return discarding || actualReadableBytes() > 0;
     }
 
-    /** How many bytes wait for the rest of their message. */
+    /** The number of bytes that wait for the rest of their message. */
     public int bufferedBytes() {
         return discarding ? 0 : actualReadableBytes();
     }
 
-    /** From here on all that comes is passed over; beyond what one message may have, the connection is closed. */
+    /** Discards all further input; the connection is closed when that exceeds the limit of one message. */
     public void discardInput() {
         discarding = true;
     }
@@ -73,7 +80,7 @@
             discarding = true;
             throw new CorruptedFrameException("a message cannot have the length " + length);
         }
-        // guards against waiting for a value whose own length already proves that it doesn't fit
+        // checked early: there is no point in waiting for a value whose length already contradicts the message's length
         boolean oneColumnRow = type == 'D' && !expectsUntyped && in.readableBytes() >= ONE_COLUMN_ROW_HEADER_BYTES;
         if (oneColumnRow && in.getShort(in.readerIndex() + 5) == 1 && in.getInt(in.readerIndex() + 7) >= 0
                 && in.getInt(in.readerIndex() + 7) != length - ONE_COLUMN_ROW_HEADER_BYTES + 1) {
@@ -84,8 +91,9 @@
             return;
         }
         Frame frame = new Frame(type, in.readRetainedSlice(typeBytes + length));
-        // after a request for encryption the real first message is still to come
-        expectsUntyped &= frame.startupCode() == Frame.SSL_REQUEST || frame.startupCode() == Frame.GSS_ENCRYPTION_REQUEST;
+        // after a request for encryption the startup message is still to come
+        expectsUntyped &= frame.startupCode() == Frame.SSL_REQUEST
+                || frame.startupCode() == Frame.GSS_ENCRYPTION_REQUEST;
         out.add(frame);
     }
 }
--- a/src/main/java/reedquay/pg/Messages.java
+++ b/src/main/java/reedquay/pg/Messages.java
@@ -4,10 +4,11 @@
 import io.netty.buffer.ByteBufAllocator;
 import java.nio.charset.StandardCharsets;
 
-/** Writes messages of protocol version 3. */
+/** Writes messages of the PostgreSQL protocol, version 3. Each method appends to the buffer that it returns. */
 public final class Messages {
     private Messages() { }
 
+    /** Writes the type and a place for the length; returns the index of that place, for endMessage. */
     private static int beginMessage(ByteBuf out, char type) {
         out.writeByte(type);
         out.writeInt(0);
@@ -23,7 +24,10 @@
         out.writeByte(0);
     }
 
-    /** What a server says once it admits a client, without the ReadyForQuery. */
+    /**
+     * A server's answer to a startup message, without the ReadyForQuery: AuthenticationOk, the ParameterStatus
+     * messages, BackendKeyData.
+     */
     public static ByteBuf startupResponse(ByteBuf out, int processId, int secretKey) {
         int lengthIndex = beginMessage(out, 'R');
         out.writeInt(0);
@@ -40,6 +44,7 @@
         return out;
     }
 
+    /** ParameterStatus, by which a server reports a setting. */
     public static ByteBuf parameterStatus(ByteBuf out, String name, String value) {
         int lengthIndex = beginMessage(out, 'S');
         writeString(out, name);
@@ -56,11 +61,13 @@
         return out;
     }
 
+    /** EmptyQueryResponse, which stands for CommandComplete after an empty query. */
     public static ByteBuf emptyQueryResponse(ByteBuf out) {
         endMessage(out, beginMessage(out, 'I'));
         return out;
     }
 
+    /** CommandComplete; tag: the command tag, such as SELECT 1. */
     public static ByteBuf commandComplete(ByteBuf out, String tag) {
         int lengthIndex = beginMessage(out, 'C');
         writeString(out, tag);
@@ -68,7 +75,7 @@
         return out;
     }
 
-    /** detail: null for none. */
+    /** ErrorResponse; code: the SQLSTATE; detail: null for none. */
     public static ByteBuf errorResponse(ByteBuf out, String severity, String code, String message, String detail) {
         int lengthIndex = beginMessage(out, 'E');
         String[] fields = {"S", severity, "V", severity, "C", code, "M", message, "D", detail};
@@ -83,7 +90,7 @@
         return out;
     }
 
-    /** Describes columns of text. */
+    /** RowDescription of text columns. */
     public static ByteBuf rowDescription(ByteBuf out, String... names) {
         int lengthIndex = beginMessage(out, 'T');
         out.writeShort(names.length);
@@ -95,6 +102,7 @@
         return out;
     }
 
+    /** DataRow of text values. */
     public static ByteBuf dataRow(ByteBuf out, String... values) {
         int lengthIndex = beginMessage(out, 'D');
         out.writeShort(values.length);
@@ -106,7 +114,7 @@
         return out;
     }
 
-    /** The first message of a client. */
+    /** StartupMessage, the first message of a client. */
     public static ByteBuf startupMessage(ByteBuf out, String user, String database) {
         int lengthIndex = out.writerIndex();
         out.writeInt(0).writeInt(Frame.PROTOCOL_VERSION_3);
@@ -119,6 +127,7 @@
         return out;
     }
 
+    /** Query, a simple query. */
     public static ByteBuf query(ByteBuf out, String text) {
         int lengthIndex = beginMessage(out, 'Q');
         writeString(out, text);
@@ -126,12 +135,13 @@
         return out;
     }
 
+    /** Terminate, by which a client ends its connection. */
     public static ByteBuf terminate(ByteBuf out) {
         endMessage(out, beginMessage(out, 'X'));
         return out;
     }
 
-    /** A Query whose body is the given one, with the bytes from..to of the body replaced by a number. */
+    /** A Query with the frame's body, whose bytes from (inclusive) to to (exclusive) are replaced by a number. */
     public static ByteBuf query(ByteBufAllocator allocator, Frame frame, int from, int to, long number) {
         String digits = Long.toString(number);
         ByteBuf content = frame.content();
