--- a/src/test/java/reedquay/net/GatewayTest.java
+++ b/src/test/java/reedquay/net/GatewayTest.java
@@ -39,14 +39,14 @@
 import reedquay.pg.Messages;
 import reedquay.route.Router;
 
-/** A gateway whole on loopback, against the stand-in of the example folder. */
+/** A complete gateway on loopback, against the stand-in for members and discovery of the example folder. */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class GatewayTest {
-    private final StandIn world = new StandIn(0, 200, "one", "two", "three");
-    private final StandIn.Server primary = world.server("one");
+    private final StandIn standIn = new StandIn(0, 200, "one", "two", "three");
+    private final StandIn.Server primary = standIn.server("one");
     private Gateway gateway;
     private InetSocketAddress address;
-    private final AtomicLong ids = new AtomicLong(); // several clients draw from it at once
+    private final AtomicLong nextId = new AtomicLong(); // several clients use it at once
 
     private static JsonObject configuration() {
         try {
@@ -56,10 +56,10 @@
         }
     }
 
-    private Gateway start(JsonObject all) {
-        all.addProperty("listen", "127.0.0.1:0");
-        all.addProperty("discovery", "127.0.0.1:" + world.discoveryAddress().getPort());
-        gateway = new Gateway(Configuration.parse(all.toString()));
+    private Gateway start(JsonObject config) {
+        config.addProperty("listen", "127.0.0.1:0");
+        config.addProperty("discovery", "127.0.0.1:" + standIn.discoveryAddress().getPort());
+        gateway = new Gateway(Configuration.parse(config.toString()));
         address = gateway.start().join();
         return gateway;
     }
@@ -76,17 +76,17 @@
     @AfterEach void stop() {
         if (gateway != null) {
             gateway.stop().join();
-            Map<String, Long> c = gateway.counters().join();
-            assertEquals(c.getOrDefault("rpc.taken", 0L), c.getOrDefault("rpc.ok", 0L)
-                    + c.getOrDefault("rpc.pushedback", 0L) + c.getOrDefault("rpc.aborted", 0L)
-                    + c.getOrDefault("rpc.clientgone", 0L) + c.get("rpc.inhand"), c.toString());
-            assertEquals(0, c.get("client.heldbytes"), c.toString());
-            assertTrue(c.keySet().stream().noneMatch(n -> n.startsWith("broken")), c.toString());
+            Map<String, Long> counters = gateway.counters().join();
+            assertEquals(counters.getOrDefault("rpc.taken", 0L), counters.getOrDefault("rpc.ok", 0L)
+                    + counters.getOrDefault("rpc.pushedback", 0L) + counters.getOrDefault("rpc.aborted", 0L)
+                    + counters.getOrDefault("rpc.clientgone", 0L) + counters.get("rpc.inhand"), counters.toString());
+            assertEquals(0, counters.get("client.heldbytes"), counters.toString());
+            assertTrue(counters.keySet().stream().noneMatch(n -> n.startsWith("broken")), counters.toString());
         }
-        world.close();
+        standIn.close();
     }
 
-    /** A client that blocks, with answers as a short text: the types in order, values and codes. */
+    /** A blocking client; it gives answers as a short text: message types in order, values, SQLSTATEs and details. */
     private final class Client implements AutoCloseable {
         final Socket socket = new Socket(address.getAddress(), address.getPort());
         final DataInputStream in = new DataInputStream(socket.getInputStream());
@@ -103,17 +103,17 @@
 
         Client startup() throws IOException {
             send(Messages.startupMessage(Unpooled.buffer(), "portal", "crm"));
-            assertTrue(answer().endsWith("Z"));
+            assertTrue(readAnswer().endsWith("Z"));
             return this;
         }
 
         String ask(String sql) throws IOException {
             send(Messages.query(Unpooled.buffer(), sql));
-            return answer();
+            return readAnswer();
         }
 
-        /** Up to ReadyForQuery, or "closed" at the end. */
-        String answer() throws IOException {
+        /** Reads up to ReadyForQuery; the text ends with "closed" where the connection ended instead. */
+        String readAnswer() throws IOException {
             List<String> parts = new ArrayList<>();
             while (true) {
                 int type = in.read();
@@ -145,532 +145,548 @@
         }
     }
 
-    private String head(String method, int wait, String more) {
-        return "/* id=" + Long.toHexString(0x1000 + ids.getAndIncrement()) + ",c=" + method + ",t=acme,d=" + wait
-                + ",cluster=1" + more + " */ ";
+    private String leadingComment(String method, int waitMillis, String moreFields) {
+        return "/* id=" + Long.toHexString(0x1000 + nextId.getAndIncrement()) + ",c=" + method + ",t=acme,d="
+                + waitMillis + ",cluster=1" + moreFields + " */ ";
     }
 
-    private String read(String method, int wait) {
-        return head(method, wait, "") + "SELECT data FROM facts WHERE code = 'k'";
+    private String readStatement(String method, int waitMillis) {
+        return leadingComment(method, waitMillis, "") + "SELECT data FROM facts WHERE code = 'k'";
     }
 
-    private String write(int wait, String data) {
-        return head("order", wait, ",k=77") + "INSERT INTO facts (code, data) VALUES ('k', '" + data
+    private String writeStatement(int waitMillis, String data) {
+        return leadingComment("order", waitMillis, ",k=77") + "INSERT INTO facts (code, data) VALUES ('k', '" + data
                 + "') RETURNING data";
     }
 
-    private static void await(BooleanSupplier holds, String what) {
+    private static void await(BooleanSupplier condition, String expectation) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
-        while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, what);
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < end, expectation);
             Thread.onSpinWait();
         }
     }
 
-    private long count(String name) {
+    private long counter(String name) {
         return gateway.counters().join().getOrDefault(name, 0L);
     }
 
-    private void all(String fault) {
+    private void setFaultOfAll(String fault) {
         for (String name : List.of("one", "two", "three")) {
-            world.server(name).fault = fault;
+            standIn.server(name).fault = fault;
         }
     }
 
-    @Test void writesGoToThePrimaryAndReadsToReplicasThatSawThem() throws IOException {
+    @Test void writesGoToThePrimaryAndReadsToReplicasPastTheWrite() throws IOException {
         try (Client client = ready()) {
-            assertEquals("T D:v1 C Z", client.ask(write(3000, "v1")));
+            assertEquals("T D:v1 C Z", client.ask(writeStatement(3000, "v1")));
             long commit = System.currentTimeMillis();
-            String session = head("basket", 2000, ",after=" + commit);
-            // held until a replica's answers show that it is past the write; lent where none has been heard for long
-            for (String got = ""; !got.equals("T D:v1 C Z"); ) {
-                client.ask(read("history", 1000));
-                got = client.ask(session + "SELECT data FROM facts WHERE code = 'k'");
-                assertTrue(got.equals("T D:v1 C Z") || got.startsWith("E:53300"), got);
+            String sessionRead = leadingComment("basket", 2000, ",after=" + commit);
+            // held until a replica's answers show that it has replayed the write; goes to the primary where no replica
+            // has been heard for long
+            for (String answer = ""; !answer.equals("T D:v1 C Z"); ) {
+                client.ask(readStatement("history", 1000));
+                answer = client.ask(sessionRead + "SELECT data FROM facts WHERE code = 'k'");
+                assertTrue(answer.equals("T D:v1 C Z") || answer.startsWith("E:53300"), answer);
             }
             assertTrue(primary.statements.stream().skip(1).allMatch(t -> t.contains("c=basket")));
             String sent = primary.statements.get(0);
             assertTrue(sent.matches("/\\* id=[0-9a-f]+,c=order,t=acme,d=\\d+,cluster=1,k=77 \\*/ INSERT .*"), sent);
-            long d = Long.parseLong(sent.replaceAll(".*d=(\\d+),.*", "$1"));
-            assertTrue(d > 0 && d <= 3000, sent);
+            long waitMillis = Long.parseLong(sent.replaceAll(".*d=(\\d+),.*", "$1"));
+            assertTrue(waitMillis > 0 && waitMillis <= 3000, sent);
         }
     }
 
-    /** Each row of the protocol's table of outcomes, met on every member. */
-    @Test void outcomesOfMembersBecomeTheAnswersThatRulesAllow() throws IOException {
+    /** Each kind of response or fault that a member can show, here on every member at once. */
+    @Test void memberOutcomesMapToClientAnswers() throws IOException {
         String[][] writes = {{"XX000", "E:58000 Z"}, {"53300", "E:53300:100 Z"}, {"25006", "E:53300:100 Z"},
             {"reset", "E:58000 Z"}, {"garbage", "E:58000 Z"}, {"half", "T D:w C Z"}, {"silent", "E:58000 Z"}};
         String[][] reads = {{"XX000", "E:53300:100 Z"}, {"53300", "E:53300:100 Z"}, {"72000", "E:53300:100 Z"},
             {"reset", "E:53300:100 Z"}, {"garbage", "E:53300:100 Z"}, {"half", "T D:well C Z"}};
         try (Client client = ready()) {
             for (String[] row : writes) {
-                recover(client);
-                all(row[0]);
-                assertEquals(row[1], client.ask(write(250, "w")), row[0]);
+                awaitAllMembersServing(client);
+                setFaultOfAll(row[0]);
+                assertEquals(row[1], client.ask(writeStatement(250, "w")), row[0]);
             }
             for (String[] row : reads) {
-                recover(client);
-                all(row[0]);
-                assertEquals(row[1], client.ask(read("history", 250)), row[0]);
+                awaitAllMembersServing(client);
+                setFaultOfAll(row[0]);
+                assertEquals(row[1], client.ask(readStatement("history", 250)), row[0]);
             }
         }
     }
 
-    /** Until all members serve again: what was met before must not colour the next case. */
-    private void recover(Client client) throws IOException {
-        all("");
+    /** Waits until all members serve again, so that one case has no effect on the next. */
+    private void awaitAllMembersServing(Client client) throws IOException {
+        setFaultOfAll("");
         for (String got = ""; !got.startsWith("T"); ) {
-            got = client.ask(write(3000, "well"));
+            got = client.ask(writeStatement(3000, "well"));
         }
         for (String name : List.of("two", "three")) {
-            int before = world.server(name).statements.size();
-            while (world.server(name).statements.size() == before) {
-                client.ask(read("history", 1000));
+            int before = standIn.server(name).statements.size();
+            while (standIn.server(name).statements.size() == before) {
+                client.ask(readStatement("history", 1000));
             }
         }
     }
 
-    /** What never left proves that nothing ran: refused, never up, or admitted by nobody. */
-    @Test void connectionsThatDoNotComeUpProveThatNothingRan() throws IOException {
-        JsonObject fresh = configuration();
+    /** A write that was never sent has not run: the member refuses the connection, rejects it, or never admits it. */
+    @Test void failedConnectionsProveThatNothingRan() throws IOException {
+        JsonObject config = configuration();
         for (String fault : List.of("crowded", "mute", "stopped")) {
-            all(fault);
+            setFaultOfAll(fault);
             if (fault.equals("stopped")) {
                 primary.stop();
             }
-            start(fresh.deepCopy());
+            start(config.deepCopy());
             try (Client client = ready()) {
-                assertEquals("E:53300:100 Z", client.ask(write(250, "w")), fault);
+                assertEquals("E:53300:100 Z", client.ask(writeStatement(250, "w")), fault);
             }
             gateway.stop().join();
         }
         assertEquals(List.of(), primary.statements);
     }
 
-    /** A connection that broke while idle must not make a may-have-run of the next statement. */
-    @Test void idleConnectionsAreClosedBeforeTheMemberDoesAndNotUsedOnceBroken() throws IOException {
-        JsonObject short1 = configuration();
-        short1.getAsJsonObject("settings").getAsJsonObject("Allowed").addProperty("Keepalive", 300.0);
-        start(short1);
+    /** Prevents a write from being aborted as one that may have run, which happens on a connection that broke idle. */
+    @Test void idleConnectionsAreClosedBeforeTheMembersTimeoutAndNotReusedOnceBroken() throws IOException {
+        JsonObject config = configuration();
+        config.getAsJsonObject("settings").getAsJsonObject("Allowed").addProperty("Keepalive", 300.0);
+        start(config);
         try (Client client = ready()) {
-            assertEquals("T D:a C Z", client.ask(write(3000, "a")));
+            assertEquals("T D:a C Z", client.ask(writeStatement(3000, "a")));
             await(() -> primary.openConnections() == 0, "idle connections are closed in time");
-            await(() -> count("member.closed.idle") > 0, "and counted");
-            assertEquals("T D:b C Z", client.ask(write(3000, "b")));
-            long before = count("member.open");
+            await(() -> counter("member.closed.idle") > 0, "closed idle connections are counted");
+            assertEquals("T D:b C Z", client.ask(writeStatement(3000, "b")));
+            long openBefore = counter("member.open");
             primary.closeConnections();
-            await(() -> count("member.open") < before, "the gateway sees them go");
-            assertEquals("T D:c C Z", client.ask(write(3000, "c")));
-            assertEquals(0, count("callout.RESET") + count("callout.STALE"));
+            await(() -> counter("member.open") < openBefore, "the gateway notices the closed connections");
+            assertEquals("T D:c C Z", client.ask(writeStatement(3000, "c")));
+            assertEquals(0, counter("callout.RESET") + counter("callout.STALE"));
             primary.fault = "reset";
-            assertEquals("E:58000 Z", client.ask(write(300, "d")));
-            assertTrue(count("callout.STALE") == 1 && count("callout.RESET") >= 1, "the kept one, then new ones");
+            assertEquals("E:58000 Z", client.ask(writeStatement(300, "d")));
+            assertTrue(counter("callout.STALE") == 1 && counter("callout.RESET") >= 1,
+                    "the reused connection, then new ones");
         }
     }
 
-    /** A machine that vanished leaves its connections open and silent: once it lasts none of them is used again. */
-    @Test void idleConnectionsToAMemberThatFellSilentAreDropped() throws IOException {
+    /** Prevents the use of dead connections: a host that vanished leaves its connections open, but silent. */
+    @Test void idleConnectionsToAnEjectedMemberAreClosed() throws IOException {
         try (Client client = ready(); Client other = new Client().startup()) {
-            assertEquals("T D:a C Z", client.ask(write(3000, "a")));
+            assertEquals("T D:a C Z", client.ask(writeStatement(3000, "a")));
             primary.fault = "silent";
-            other.send(Messages.query(Unpooled.buffer(), write(700, "b")));
-            client.send(Messages.query(Unpooled.buffer(), write(700, "c")));
-            assertEquals("E:58000 Z", client.answer());
-            assertEquals("E:58000 Z", other.answer());
+            other.send(Messages.query(Unpooled.buffer(), writeStatement(700, "b")));
+            client.send(Messages.query(Unpooled.buffer(), writeStatement(700, "c")));
+            assertEquals("E:58000 Z", client.readAnswer());
+            assertEquals("E:58000 Z", other.readAnswer());
             primary.fault = "";
-            await(() -> count("probe.OK") > 0, "a probe comes back and leaves an idle connection");
-            await(() -> count("member.closed.aside") > 0, "which is closed when the member stays aside");
-            assertEquals("T D:d C Z", client.ask(write(3000, "d")));
+            await(() -> counter("probe.OK") > 0, "a probe is answered and leaves an idle connection");
+            await(() -> counter("member.closed.aside") > 0,
+                    "the idle connection is closed while the member stays ejected");
+            assertEquals("T D:d C Z", client.ask(writeStatement(3000, "d")));
         }
     }
 
-    @Test void clientThatLeavesEndsItsCallOut() throws IOException {
+    @Test void clientDisconnectCancelsItsCallOut() throws IOException {
         Client client = ready();
-        assertEquals("T D:a C Z", client.ask(write(3000, "a")));
+        assertEquals("T D:a C Z", client.ask(writeStatement(3000, "a")));
         primary.fault = "silent";
-        client.send(Messages.query(Unpooled.buffer(), write(3000, "b")));
-        await(() -> primary.statements.size() == 2, "the statement is out");
+        client.send(Messages.query(Unpooled.buffer(), writeStatement(3000, "b")));
+        await(() -> primary.statements.size() == 2, "the statement reached the primary");
         client.close();
-        await(() -> count("rpc.clientgone") == 1 && primary.openConnections() == primary.acceptedConnections - 1, "its connection is closed");
-        assertEquals(1, count("callout.CANCELLED"));
+        await(() -> counter("rpc.clientgone") == 1 && primary.openConnections() == primary.acceptedConnections - 1,
+                "its member connection is closed");
+        assertEquals(1, counter("callout.CANCELLED"));
     }
 
-    @Test void queriesSentAheadAreAnsweredInOrder() throws IOException {
+    @Test void pipelinedQueriesAreAnsweredInOrder() throws IOException {
         ready().close();
         try (Client client = new Client()) {
-            ByteBuf all = Messages.startupMessage(Unpooled.buffer(), "portal", "crm");
+            ByteBuf messages = Messages.startupMessage(Unpooled.buffer(), "portal", "crm");
             for (String data : List.of("1", "2", "3")) {
-                Messages.query(all, write(3000, data));
+                Messages.query(messages, writeStatement(3000, data));
             }
-            client.send(Messages.terminate(Messages.query(Messages.query(all, ""), "SELECT 1")));
-            assertEquals("Z", client.answer());
-            assertEquals("T D:1 C Z", client.answer());
-            assertEquals("T D:2 C Z", client.answer());
-            assertEquals("T D:3 C Z", client.answer());
-            assertEquals("I Z", client.answer());
-            assertEquals("E:42601 Z", client.answer());
-            assertEquals("closed", client.answer());
-        }
-    }
-
-    /** Sessions that go on after a batch take RPCs whose batches let others go on: one by one, not nested. */
-    @Test void whatFollowsABatchIsNotNested() {
-        Configuration told = Configuration.parse(configuration().toString());
-        Dispatcher door = new Dispatcher(null, null, new MonotonicClock(), new Limits(128, 192), new Counters(), told.settings(), 1,
-                Router::new);
+            client.send(Messages.terminate(Messages.query(Messages.query(messages, ""), "SELECT 1")));
+            assertEquals("Z", client.readAnswer());
+            assertEquals("T D:1 C Z", client.readAnswer());
+            assertEquals("T D:2 C Z", client.readAnswer());
+            assertEquals("T D:3 C Z", client.readAnswer());
+            assertEquals("I Z", client.readAnswer());
+            assertEquals("E:42601 Z", client.readAnswer());
+            assertEquals("closed", client.readAnswer());
+        }
+    }
+
+    /**
+     * Prevents a stack overflow, which happens when tasks after a batch nest: each session that resumes starts an RPC,
+     * whose batch lets the next session resume.
+     */
+    @Test void tasksAfterABatchAreNotNested() {
+        Configuration config = Configuration.parse(configuration().toString());
+        Dispatcher dispatcher = new Dispatcher(null, null, new MonotonicClock(), new Limits(128, 192), new Counters(),
+                config.settings(), 1, Router::new);
         int[] runs = new int[1];
-        Runnable[] next = new Runnable[1];
-        next[0] = () -> {
+        Runnable[] task = new Runnable[1];
+        task[0] = () -> {
             if (++runs[0] < 200_000) {
-                door.runAfterBatch(next[0]);
-                door.submitInput(d -> { });
+                dispatcher.runAfterBatch(task[0]);
+                dispatcher.submitInput(d -> { });
             }
         };
-        door.runAfterBatch(next[0]);
-        door.submitInput(d -> { });
+        dispatcher.runAfterBatch(task[0]);
+        dispatcher.submitInput(d -> { });
         assertEquals(200_000, runs[0]);
     }
 
-    @Test void manyRpcsSentAheadAndRefusedAtOnceAreAnsweredOneByOne() throws IOException {
+    @Test void manyPipelinedRpcsRejectedAtOnceAreEachAnswered() throws IOException {
         try (Client client = ready()) {
-            ByteBuf all = Unpooled.buffer();
+            ByteBuf messages = Unpooled.buffer();
             for (int i = 0; i < 6000; i++) {
-                Messages.query(all, "/* id=" + Integer.toHexString(i) + ",c=history,d=900,cluster=9 */ SELECT 'x'");
+                Messages.query(messages, "/* id=" + Integer.toHexString(i)
+                        + ",c=history,d=900,cluster=9 */ SELECT 'x'");
             }
-            client.send(all);
+            client.send(messages);
             for (int i = 0; i < 6000; i++) {
-                assertEquals("E:53300:100 Z", client.answer());
+                assertEquals("E:53300:100 Z", client.readAnswer());
             }
-            assertEquals("T D: C Z", client.ask(read("history", 1000)));
+            assertEquals("T D: C Z", client.ask(readStatement("history", 1000)));
         }
     }
 
-    @Test void whatCannotBeRoutedIsAnErrorAndTheSessionGoesOn() throws IOException {
+    @Test void invalidStatementsAreErrorsAndTheSessionGoesOn() throws IOException {
         try (Client client = ready()) {
-            for (String bad : List.of("SELECT 1", "/* */ SELECT 1", "/* id=1,c=order,d=5 */ SELECT 1",
+            for (String invalid : List.of("SELECT 1", "/* */ SELECT 1", "/* id=1,c=order,d=5 */ SELECT 1",
                     "/* id=1,c=order,d=0,cluster=1 */ x", "/* id=1,c=order,d=-5,cluster=1 */ x",
                     "/* id=1,c=order,d=99999999999999999999,cluster=1 */ x", "/* id=zz,c=order,d=5,cluster=1 */ x",
                     "/* id=1,id=2,c=order,d=5,cluster=1 */ x", "/* id=1,c=nobody,d=5,cluster=1 */ x",
                     "/* id=1,c=order,d=5,cluster=1,after=x */ x", "/* id=1,c=order,d=5,cluster=1", "/*",
-                    read("history", 500).replace("SELECT", "INSERT"), write(500, "x").replace("INSERT", "SELECT"),
-                    write(500, "x").replace(",k=77", ""), write(500, "x").replace("k=77", "k=7;7"),
-                    read("history", 500).replace(",t=", ",r=2,t="), read("history", 500).replace(",t=", ",x,t="),
-                    read("history", 500) + "; DROP TABLE facts", read("history", 500) + "'",
-                    read("history", 500).replace("'", ""), read("history", 500).replace("data", "da\u0001ta"))) {
-                assertEquals("E:42601 Z", client.ask(bad), bad);
+                    readStatement("history", 500).replace("SELECT", "INSERT"),
+                    writeStatement(500, "x").replace("INSERT", "SELECT"),
+                    writeStatement(500, "x").replace(",k=77", ""), writeStatement(500, "x").replace("k=77", "k=7;7"),
+                    readStatement("history", 500).replace(",t=", ",r=2,t="),
+                    readStatement("history", 500).replace(",t=", ",x,t="),
+                    readStatement("history", 500) + "; DROP TABLE facts", readStatement("history", 500) + "'",
+                    readStatement("history", 500).replace("'", ""),
+                    readStatement("history", 500).replace("data", "da\u0001ta"))) {
+                assertEquals("E:42601 Z", client.ask(invalid), invalid);
             }
-            String elsewhere = head("order", 500, ",k=1").replace("cluster=1", "cluster=9");
-            assertTrue(client.ask(elsewhere + "INSERT 'x'").startsWith("E:53300"));
+            String otherGroup = leadingComment("order", 500, ",k=1").replace("cluster=1", "cluster=9");
+            assertTrue(client.ask(otherGroup + "INSERT 'x'").startsWith("E:53300"));
             client.send(Unpooled.buffer().writeByte('P').writeInt(4).writeByte('B').writeInt(4).writeByte('S')
                     .writeInt(4));
-            assertEquals("E:0A000 Z", client.answer());
+            assertEquals("E:0A000 Z", client.readAnswer());
             assertEquals("C Z", client.ask("SET x = 1;"));
             assertTrue(client.ask("show counters").startsWith("T D:client.accepted"));
-            assertEquals("T D:a C Z", client.ask(write(3000, "a")));
-            try (Client broken = new Client().startup()) {
-                broken.send(Unpooled.buffer().writeByte('Q').writeInt(1 << 29).writeZero(64));
-                assertEquals("E:08P01 closed", broken.answer());
+            assertEquals("T D:a C Z", client.ask(writeStatement(3000, "a")));
+            try (Client malformed = new Client().startup()) {
+                malformed.send(Unpooled.buffer().writeByte('Q').writeInt(1 << 29).writeZero(64));
+                assertEquals("E:08P01 closed", malformed.readAnswer());
             }
-            try (Client old = new Client()) {
-                old.send(Unpooled.buffer().writeInt(8).writeInt(2 << 16));
-                assertEquals("E:0A000 closed", old.answer());
+            try (Client version2 = new Client()) {
+                version2.send(Unpooled.buffer().writeInt(8).writeInt(2 << 16));
+                assertEquals("E:0A000 closed", version2.readAnswer());
             }
             try (Client ssl = new Client()) {
                 ssl.send(Unpooled.buffer().writeInt(8).writeInt(Frame.SSL_REQUEST));
                 assertEquals('N', ssl.in.read());
-                assertEquals("T D:b C Z", ssl.startup().ask(write(3000, "b")));
+                assertEquals("T D:b C Z", ssl.startup().ask(writeStatement(3000, "b")));
             }
-            assertEquals("T D:c C Z", client.ask(write(3000, "c")));
+            assertEquals("T D:c C Z", client.ask(writeStatement(3000, "c")));
         }
         assertEquals(3, primary.statements.size());
     }
 
-    /** Whoever gets no answer sends no more than the limit ahead, and others are served meanwhile. */
-    @Test void clientThatDoesNotReadHoldsUpNobody() throws IOException {
-        try (Client client = ready(); Client deaf = new Client().startup()) {
+    /** A client whose RPC is unanswered can pipeline no more than the limit, and others are served meanwhile. */
+    @Test void clientThatDoesNotReadDelaysNoOther() throws IOException {
+        try (Client client = ready(); Client notReading = new Client().startup()) {
             primary.fault = "silent";
-            deaf.send(Messages.query(Unpooled.buffer(), write(3000, "x")));
-            await(() -> !primary.statements.isEmpty(), "the first is out");
-            deaf.socket.setSoTimeout(1);
+            notReading.send(Messages.query(Unpooled.buffer(), writeStatement(3000, "x")));
+            await(() -> !primary.statements.isEmpty(), "the first statement reached the primary");
+            notReading.socket.setSoTimeout(1);
             Thread flood = new Thread(() -> {
                 try {
                     for (int i = 0; i < 200; i++) {
-                        deaf.send(Messages.query(Unpooled.buffer(), "x".repeat(100_000)));
+                        notReading.send(Messages.query(Unpooled.buffer(), "x".repeat(100_000)));
                     }
                 } catch (IOException e) {
-                    // the socket is closed at the end, as meant
+                    // expected: the socket is closed at the end of the test
                 }
             });
             flood.start();
             for (int i = 0; i < 50; i++) {
-                assertEquals("T D: C Z", client.ask(read("history", 1000)));
+                assertEquals("T D: C Z", client.ask(readStatement("history", 1000)));
             }
-            assertTrue(flood.isAlive(), "20 MB were taken in");
+            assertTrue(flood.isAlive(), "the gateway read 20 MB of pipelined messages");
         }
     }
 
-    @Test void listChangesMoveResumeAndSurviveNonsense() throws IOException {
+    @Test void memberListWatchResumesAfterMovesAndMalformedInput() throws IOException {
         try (Client client = ready()) {
-            assertEquals("T D:a C Z", client.ask(write(3000, "a")));
+            assertEquals("T D:a C Z", client.ask(writeStatement(3000, "a")));
             primary.stop();
             primary.start(0);
             primary.startedAtMs = System.currentTimeMillis() - 60_000;
-            world.announce("one");
-            long lists = count("discovery.lists");
-            await(() -> count("discovery.lists") >= lists, "the change is read");
-            String got = client.ask(write(3000, "b"));
-            assertEquals("T D:b C Z", got);
-            world.closeWatches();
-            await(() -> world.watchRequests.size() == 2, "the watch is opened again");
-            assertEquals("/discovery/hosts?follow=1&since=1", world.watchRequests.get(1));
-            await(() -> count("discovery.lists") > lists, "and read");
-            world.sendRaw("{\"generation\":5,\"instances\":[{]}\n");
-            await(() -> world.watchRequests.size() == 3, "nonsense ends a watch, not the gateway");
-            world.sendRaw("{\"instances\":[{\"instanceId\":\"one\",\"lifecycle\":\"ready\","
+            standIn.announce("one");
+            long lists = counter("discovery.lists");
+            await(() -> counter("discovery.lists") >= lists, "the change of the list is read");
+            String answer = client.ask(writeStatement(3000, "b"));
+            assertEquals("T D:b C Z", answer);
+            standIn.closeWatches();
+            await(() -> standIn.watchRequests.size() == 2, "the watch is reopened");
+            assertEquals("/discovery/hosts?follow=1&since=1", standIn.watchRequests.get(1));
+            await(() -> counter("discovery.lists") > lists, "the list of the new watch is read");
+            standIn.sendRaw("{\"generation\":5,\"instances\":[{]}\n");
+            await(() -> standIn.watchRequests.size() == 3, "a malformed list ends the watch alone, which is reopened");
+            standIn.sendRaw("{\"instances\":[{\"instanceId\":\"one\",\"lifecycle\":\"ready\","
                     + "\"hostPort\":\"a.b:1\"}]}\n");
-            await(() -> world.watchRequests.size() == 4, "a name is no address");
-            assertEquals("T D:c C Z", client.ask(write(3000, "c")));
-            world.discoverySilent = true;
-            world.closeWatches();
-            await(() -> world.watchRequests.size() == 5, "a silent one is opened as well");
-            assertEquals("T D:d C Z", client.ask(write(3000, "d")));
+            await(() -> standIn.watchRequests.size() == 4, "a list with a host name for an address ends the watch");
+            assertEquals("T D:c C Z", client.ask(writeStatement(3000, "c")));
+            standIn.discoverySilent = true;
+            standIn.closeWatches();
+            await(() -> standIn.watchRequests.size() == 5, "the watch is reopened though discovery sends nothing");
+            assertEquals("T D:d C Z", client.ask(writeStatement(3000, "d")));
         }
     }
 
-    /** A spoilt answer may have run, and nothing of it is served. */
-    @Test void spoiltAnswersAreNotServed() throws IOException {
+    /** Nothing of a malformed response is served, and its statement counts as one that may have run. */
+    @Test void malformedResponsesAreNotServed() throws IOException {
         try (Client client = ready()) {
-            recover(client);
-            long resets = count("callout.RESET");
+            awaitAllMembersServing(client);
+            long resets = counter("callout.RESET");
             for (String fault : List.of("norow", "tworows", "backwards", "misfit", "huge", "unended", "garbage")) {
-                all(fault);
+                setFaultOfAll(fault);
                 for (int i = 0; i < 5; i++) {
-                    assertEquals("E:58000 Z", client.ask(write(1500, "w")), fault);
-                    assertEquals("E:53300:100 Z", client.ask(read("history", 1500)), fault);
+                    assertEquals("E:58000 Z", client.ask(writeStatement(1500, "w")), fault);
+                    assertEquals("E:53300:100 Z", client.ask(readStatement("history", 1500)), fault);
                 }
-                all("");
-                assertEquals("T D:good C Z", client.ask(write(1500, "good")), fault);
-                assertTrue(client.ask(read("history", 1500)).startsWith("T D:"), fault);
+                setFaultOfAll("");
+                assertEquals("T D:good C Z", client.ask(writeStatement(1500, "good")), fault);
+                assertTrue(client.ask(readStatement("history", 1500)).startsWith("T D:"), fault);
             }
-            assertTrue(count("callout.SPOILT") >= 70);
-            assertEquals(resets, count("callout.RESET"));
+            assertTrue(counter("callout.SPOILT") >= 70);
+            assertEquals(resets, counter("callout.RESET"));
         }
     }
 
-    /** Good answers with more behind them are served; their connections carry nothing else. */
-    @Test void surplusBehindAnAnswerIsNeverTakenForTheNextOne() throws IOException {
+    /** A valid response with data behind it is served; its connection carries no further request. */
+    @Test void dataBehindAResponseIsNeverServedForTheNextStatement() throws IOException {
         try (Client client = ready(); Client other = new Client().startup()) {
             for (String fault : List.of("twice", "noise")) {
-                all(fault);
-                long opened = count("member.opened");
+                setFaultOfAll(fault);
+                long opened = counter("member.opened");
                 for (int i = 0; i < 20; i++) {
-                    client.send(Messages.query(Unpooled.buffer(), write(3000, fault + i)));
-                    assertEquals("T D:other" + i + " C Z", other.ask(write(3000, "other" + i)));
-                    assertEquals("T D:" + fault + i + " C Z", client.answer());
+                    client.send(Messages.query(Unpooled.buffer(), writeStatement(3000, fault + i)));
+                    assertEquals("T D:other" + i + " C Z", other.ask(writeStatement(3000, "other" + i)));
+                    assertEquals("T D:" + fault + i + " C Z", client.readAnswer());
                 }
-                assertTrue(count("member.opened") - opened >= 38, "each has a connection to itself");
+                assertTrue(counter("member.opened") - opened >= 38, "each request has a connection to itself");
             }
-            all("future");
-            long odd = count("member.position.unreadable");
-            assertTrue(client.ask(read("history", 1000)).startsWith("T D:"));
-            assertEquals(odd + 1, count("member.position.unreadable"));
+            setFaultOfAll("future");
+            long unreadable = counter("member.position.unreadable");
+            assertTrue(client.ask(readStatement("history", 1000)).startsWith("T D:"));
+            assertEquals(unreadable + 1, counter("member.position.unreadable"));
         }
     }
 
-    /** Not a moment after ReadyForQuery but a tick later a connection is free, if nothing came behind the answer. */
-    @Test void connectionSettlesBeforeItIsUsedAgain() {
-        for (boolean copy : new boolean[] {false, true}) {
+    /** A connection becomes idle one tick after ReadyForQuery, and only if no data has followed the response. */
+    @Test void connectionSettlesForOneTickBeforeReuse() {
+        for (boolean secondCopy : new boolean[] {false, true}) {
             EmbeddedChannel timers = new EmbeddedChannel();
             timers.freezeTime();
-            Configuration told = Configuration.parse(configuration().toString());
-            Dispatcher door = new Dispatcher(timers.eventLoop(), null, new MonotonicClock() {
+            Configuration config = Configuration.parse(configuration().toString());
+            Dispatcher dispatcher = new Dispatcher(timers.eventLoop(), null, new MonotonicClock() {
                 @Override public long now() {
-                    return ticks;
+                    return frozenTime;
                 }
-            }, new Limits(128, 192), new Counters(), told.settings(), 1, Router::new);
-            Pool pool = door.pool("one");
-            door.membersListed(ListedMember.ListKind.FULL, List.of(new ListedMember(pool.member, "", "", 1, ListedMember.Phase.UP, true, 1, 0)));
-            MemberConnection connection = new MemberConnection(door, pool, 0);
+            }, new Limits(128, 192), new Counters(), config.settings(), 1, Router::new);
+            Pool pool = dispatcher.pool("one");
+            dispatcher.membersListed(ListedMember.ListKind.FULL,
+                    List.of(new ListedMember(pool.member, "", "", 1, ListedMember.Phase.UP, true, 1, 0)));
+            MemberConnection connection = new MemberConnection(dispatcher, pool, 0);
             EmbeddedChannel wire = new EmbeddedChannel(connection.decoder, connection);
             wire.writeInbound(Messages.readyForQuery(Messages.startupResponse(Unpooled.buffer(), 1, 1)));
             assertEquals(MemberConnection.State.IDLE, connection.state);
-            MemberRequest send = new MemberRequest(null, pool, 0, 1_000_000_000);
-            pool.submit(send);
-            ByteBuf answer = Messages.dataRow(Messages.rowDescription(Unpooled.buffer(), "data"), "mine");
-            Messages.readyForQuery(Messages.commandComplete(answer, "SELECT 1"));
-            ByteBuf again = answer.copy();
-            wire.writeInbound(answer);
-            assertTrue(send.completed);
+            MemberRequest request = new MemberRequest(null, pool, 0, 1_000_000_000);
+            pool.submit(request);
+            ByteBuf response = Messages.dataRow(Messages.rowDescription(Unpooled.buffer(), "data"), "mine");
+            Messages.readyForQuery(Messages.commandComplete(response, "SELECT 1"));
+            ByteBuf copyOfResponse = response.copy();
+            wire.writeInbound(response);
+            assertTrue(request.completed);
             assertEquals(MemberConnection.State.SETTLING, connection.state);
-            ticks += door.settings().tick();
-            if (copy) {
-                wire.writeInbound(again.readRetainedSlice(3));
+            frozenTime += dispatcher.settings().tick();
+            if (secondCopy) {
+                wire.writeInbound(copyOfResponse.readRetainedSlice(3));
             }
-            again.release();
-            timers.advanceTimeBy(door.settings().tick(), TimeUnit.NANOSECONDS);
+            copyOfResponse.release();
+            timers.advanceTimeBy(dispatcher.settings().tick(), TimeUnit.NANOSECONDS);
             timers.runScheduledPendingTasks();
-            assertEquals(copy ? MemberConnection.State.CLOSED : MemberConnection.State.IDLE, connection.state);
+            assertEquals(secondCopy ? MemberConnection.State.CLOSED : MemberConnection.State.IDLE, connection.state);
             wire.finishAndReleaseAll();
         }
     }
 
-    private long ticks;
+    private long frozenTime;
 
-    private static Path file(JsonObject config) throws IOException {
+    private static Path writeTempFile(JsonObject config) throws IOException {
         Path file = Files.createTempFile("reedquay", ".json");
         file.toFile().deleteOnExit();
         return Files.writeString(file, config.toString());
     }
 
-    /** The old watch serves until the new one has told; what can't be used or changed leaves all as it is. */
-    @Test void newConfigurationMovesDiscoveryWithoutLosingTheList() throws IOException {
+    /**
+     * The old discovery address is followed until the new one has sent a list. A configuration that is invalid, or
+     * that changes what needs a restart, leaves the rest as it is.
+     */
+    @Test void reloadMovesDiscoveryWithoutLosingTheMemberList() throws IOException {
         JsonObject config = configuration();
         start(config);
         try (Client client = ready()) {
             primary.fault = "silent";
-            client.send(Messages.query(Unpooled.buffer(), write(3000, "a")));
-            await(() -> primary.statements.size() == 1, "an RPC is in hand");
-            int old = world.discoveryAddress().getPort();
+            client.send(Messages.query(Unpooled.buffer(), writeStatement(3000, "a")));
+            await(() -> primary.statements.size() == 1, "an RPC is in flight");
+            int oldPort = standIn.discoveryAddress().getPort();
             config.addProperty("discovery", "127.0.0.1:" + Configuration.address("127.0.0.1:1").getPort());
-            assertTrue(gateway.reload(file(config)).join());
-            await(() -> count("discovery.watches") >= 3, "nobody is there, it is tried again");
-            long lists = count("discovery.lists");
-            world.announce("two");
-            await(() -> count("discovery.lists") > lists, "the old one still tells");
-            world.sendRaw("{\"generation\":0,\"instances\":[]}\n");
-            await(() -> count("discovery.older") == 1, "what is older than the list is passed over");
-            world.moveDiscovery(0);
-            config.addProperty("discovery", "127.0.0.1:" + world.discoveryAddress().getPort());
+            assertTrue(gateway.reload(writeTempFile(config)).join());
+            await(() -> counter("discovery.watches") >= 3, "the watch is retried while the new address refuses it");
+            long lists = counter("discovery.lists");
+            standIn.announce("two");
+            await(() -> counter("discovery.lists") > lists, "lists of the old address are still read");
+            standIn.sendRaw("{\"generation\":0,\"instances\":[]}\n");
+            await(() -> counter("discovery.older") == 1, "a list older than the one in force is ignored");
+            standIn.moveDiscovery(0);
+            config.addProperty("discovery", "127.0.0.1:" + standIn.discoveryAddress().getPort());
             for (int i = 0; i < 3; i++) {
-                assertTrue(gateway.reload(file(config)).join());
+                assertTrue(gateway.reload(writeTempFile(config)).join());
             }
-            await(() -> world.watchRequests.size() == 2, "the new one is watched");
-            assertEquals("/discovery/hosts?follow=1&since=1", world.watchRequests.get(1));
-            await(() -> count("discovery.lists") > lists + 1, "and tells");
-            assertEquals(2, world.openWatches(), "and the old one is read for as long as it lives");
-            world.closeWatches();
-            await(() -> world.watchRequests.size() == 3 && world.openWatches() == 1, "once it ends it is not opened again");
-            for (String bad : List.of("", "{\"listen\":", "{}")) {
-                assertFalse(gateway.reload(Files.writeString(file(config), bad)).join());
+            await(() -> standIn.watchRequests.size() == 2, "the new address is watched");
+            assertEquals("/discovery/hosts?follow=1&since=1", standIn.watchRequests.get(1));
+            await(() -> counter("discovery.lists") > lists + 1, "the list of the new address is read");
+            assertEquals(2, standIn.openWatches(), "the old watch is read for as long as it stays open");
+            standIn.closeWatches();
+            await(() -> standIn.watchRequests.size() == 3 && standIn.openWatches() == 1,
+                    "the old watch is not reopened once it has ended");
+            for (String invalid : List.of("", "{\"listen\":", "{}")) {
+                assertFalse(gateway.reload(Files.writeString(writeTempFile(config), invalid)).join());
             }
             assertFalse(gateway.reload(Path.of("nowhere.json")).join());
-            assertEquals(4, count("reload.unfit"));
+            assertEquals(4, counter("reload.unfit"));
             config.addProperty("name", "other");
-            config.addProperty("discovery", "127.0.0.1:" + old);
-            assertFalse(gateway.reload(file(config)).join(), "a name needs a restart");
-            world.moveDiscovery(old);
-            await(() -> world.watchRequests.size() == 4, "discovery does not");
-            assertEquals("E:58000 Z", client.answer());
+            config.addProperty("discovery", "127.0.0.1:" + oldPort);
+            assertFalse(gateway.reload(writeTempFile(config)).join(), "a change of the name needs a restart");
+            standIn.moveDiscovery(oldPort);
+            await(() -> standIn.watchRequests.size() == 4, "a change of the discovery address needs none");
+            assertEquals("E:58000 Z", client.readAnswer());
             gateway.stop().join();
-            assertFalse(gateway.reload(file(config)).join(), "a stopped one takes nothing on");
+            assertFalse(gateway.reload(writeTempFile(config)).join(), "a stopped gateway applies no configuration");
         }
     }
 
-    /** SIGHUP is a new configuration and not the end, SIGTERM right behind it the orderly end. */
-    @Test void signalsReachTheGateway() throws Exception {
+    /** SIGHUP reloads the configuration without ending the process; SIGTERM right after it shuts down in order. */
+    @Test void sighupReloadsAndSigtermShutsDown() throws Exception {
         JsonObject config = configuration();
         config.addProperty("listen", "127.0.0.1:0");
-        config.addProperty("discovery", "127.0.0.1:" + world.discoveryAddress().getPort());
-        Path file = file(config);
+        config.addProperty("discovery", "127.0.0.1:" + standIn.discoveryAddress().getPort());
+        Path file = writeTempFile(config);
         Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "reedquay.Main", "serve", file.toString())
                 .redirectErrorStream(true).start();
-        try (var out = process.inputReader()) {
-            String rehearsed = out.readLine();
-            assertTrue(rehearsed.matches("rehearsed [1-9].*"), rehearsed);
-            assertTrue(out.readLine().startsWith("listening on"), "and only then it listens");
-            await(() -> world.openWatches() == 1, "it watches");
-            world.moveDiscovery(0);
-            config.addProperty("discovery", "127.0.0.1:" + world.discoveryAddress().getPort());
+        try (var output = process.inputReader()) {
+            String firstLine = output.readLine();
+            assertTrue(firstLine.matches("rehearsed [1-9].*"), firstLine);
+            assertTrue(output.readLine().startsWith("listening on"), "the gateway listens only after the warm-up");
+            await(() -> standIn.openWatches() == 1, "discovery is watched");
+            standIn.moveDiscovery(0);
+            config.addProperty("discovery", "127.0.0.1:" + standIn.discoveryAddress().getPort());
             Files.writeString(file, config.toString());
             assertEquals(0, new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
-            await(() -> world.watchRequests.size() == 2, "it watches the new one");
+            await(() -> standIn.watchRequests.size() == 2, "the new discovery address is watched");
             new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
             process.toHandle().destroy();
-            assertTrue(out.lines().anyMatch(l -> l.startsWith("counters") && l.contains("discovery.moves=1")));
+            assertTrue(output.lines().anyMatch(l -> l.startsWith("counters") && l.contains("discovery.moves=1")));
             assertEquals(0, process.waitFor());
         } finally {
             process.destroyForcibly();
         }
     }
 
-    /** Where probes carry load reports they are asked for, and a bounded read needs no answer before it. */
-    @Test void loadReportsOfProbesShowPositions() throws IOException {
-        JsonObject told = configuration();
-        told.getAsJsonObject("settings").add("Report",
+    /** Probes ask for load reports where members send them so, and a bounded read needs no earlier answer then. */
+    @Test void probeLoadReportsCarryPositions() throws IOException {
+        JsonObject config = configuration();
+        config.getAsJsonObject("settings").add("Report",
                 JsonParser.parseString("{\"How\": \"pull\", \"Names\": [\"x0\", \"x1\"]}"));
-        start(told);
+        start(config);
         try (Client client = ready()) {
-            assertEquals(List.of("SHOW server_load"), world.server("two").probes);
-            assertEquals("T D: C Z", client.ask(read("catalogue", 1500)));
+            assertEquals(List.of("SHOW server_load"), standIn.server("two").probes);
+            assertEquals("T D: C Z", client.ask(readStatement("catalogue", 1500)));
             assertEquals(List.of(), primary.statements);
-            assertEquals(0, count("member.report.unreadable"));
+            assertEquals(0, counter("member.report.unreadable"));
         }
     }
 
     @Test void drainingMemberGetsNothingNewOnOpenConnections() throws IOException {
         try (Client client = ready()) {
-            world.server("two").lifecycle = "draining";
-            long lists = count("discovery.lists");
-            world.announce("two");
-            await(() -> count("discovery.lists") > lists, "told");
-            int before = world.server("two").statements.size();
+            standIn.server("two").lifecycle = "draining";
+            long lists = counter("discovery.lists");
+            standIn.announce("two");
+            await(() -> counter("discovery.lists") > lists, "the drain is read");
+            int before = standIn.server("two").statements.size();
             for (int i = 0; i < 20; i++) {
-                assertEquals("T D: C Z", client.ask(read("history", 1000)));
+                assertEquals("T D: C Z", client.ask(readStatement("history", 1000)));
             }
-            assertEquals(before, world.server("two").statements.size());
+            assertEquals(before, standIn.server("two").statements.size());
         }
     }
 
-    /** The front sends clients after the first empty query is answered. */
-    @Test void emptyQueryIsAnsweredOnceTheListIsKnown() throws IOException {
-        world.discoverySilent = true;
-        JsonObject patient = configuration();
-        patient.getAsJsonObject("settings").getAsJsonObject("Allowed").addProperty("ConnectTimeout", 5000.0);
-        start(patient);
+    /** A front sends clients once its first empty query is answered, so the gateway must be able to route by then. */
+    @Test void emptyQueryIsAnsweredOnceTheMemberListIsKnown() throws IOException {
+        standIn.discoverySilent = true;
+        JsonObject config = configuration();
+        config.getAsJsonObject("settings").getAsJsonObject("Allowed").addProperty("ConnectTimeout", 5000.0);
+        start(config);
         try (Client client = new Client().startup(); Client other = new Client().startup()) {
             client.send(Messages.query(Unpooled.buffer(), ""));
-            await(() -> !world.watchRequests.isEmpty(), "the watch is open");
-            for (int i = 0; i < 3; i++) { // the loop has met the empty query by now
+            await(() -> !standIn.watchRequests.isEmpty(), "the watch is open");
+            for (int i = 0; i < 3; i++) { // the event loop has handled the empty query by then
                 assertTrue(other.ask("SHOW counters").startsWith("T D:"));
             }
-            assertEquals(0, client.in.available(), "answered without a list");
-            world.discoverySilent = false;
-            world.announce();
-            assertEquals("I Z", client.answer());
-            assertTrue(count("discovery.lists") > 0);
+            assertEquals(0, client.in.available(), "the empty query was answered without a list");
+            standIn.discoverySilent = false;
+            standIn.announce();
+            assertEquals("I Z", client.readAnswer());
+            assertTrue(counter("discovery.lists") > 0);
         }
     }
 
-    @Test void stopFinishesWhatWasTakenAndTakesWhatStillComes() throws IOException {
+    @Test void shutdownAnswersOpenRpcsAndAcceptsLateClients() throws IOException {
         try (Client client = ready(); Client idle = new Client().startup()) {
             primary.fault = "silent";
-            client.send(Messages.query(Unpooled.buffer(), write(900, "a")));
-            await(() -> primary.statements.size() == 1, "the statement is out");
+            client.send(Messages.query(Unpooled.buffer(), writeStatement(900, "a")));
+            await(() -> primary.statements.size() == 1, "the statement reached the primary");
             var stopped = gateway.stop();
             try (Client late = new Client().startup()) {
-                assertEquals("T D: C Z", late.ask(read("history", 1000)));
+                assertEquals("T D: C Z", late.ask(readStatement("history", 1000)));
             }
-            assertEquals("E:58000 Z", client.answer());
+            assertEquals("E:58000 Z", client.readAnswer());
             await(() -> {
                 try (Client refused = new Client()) {
                     return refused.socket.isClosed();
                 } catch (IOException e) {
                     return true;
                 }
-            }, "nobody new is let in");
-            assertEquals("T D: C Z", idle.ask(read("history", 1000)), "who is in is served");
+            }, "new clients are refused");
+            assertEquals("T D: C Z", idle.ask(readStatement("history", 1000)), "an open session is served");
             assertFalse(stopped.isDone());
-            client.send(Messages.query(Unpooled.buffer(), write(3000, "b")));
-            assertEquals("closed", idle.answer());
-            assertTrue(client.answer().startsWith("E:5"), "before the kill, though it would wait for longer");
-            assertEquals("closed", client.answer());
+            client.send(Messages.query(Unpooled.buffer(), writeStatement(3000, "b")));
+            assertEquals("closed", idle.readAnswer());
+            assertTrue(client.readAnswer().startsWith("E:5"), "answered before the kill, though its deadline is later");
+            assertEquals("closed", client.readAnswer());
             stopped.join();
         }
     }
 
-    /** One RPC can be followed by its id, to the reason of its answer; nothing is made where no log wants it. */
-    @Test void theWayOfAnRpcIsLoggedWhereItIsWanted() throws IOException {
+    /** An RPC can be followed by its id up to the reason of its answer; where the trace is off no line is built. */
+    @Test void rpcTraceIsLoggedOnlyWhereEnabled() throws IOException {
         List<String> lines = new java.util.concurrent.CopyOnWriteArrayList<>();
         Logger logger = Logger.getLogger("reedquay.trace");
         Handler handler = new Handler() {
@@ -688,8 +704,8 @@
                 logger.setLevel(level);
                 start(configuration());
                 try (Client client = ready()) {
-                    all("53300");
-                    assertTrue(client.ask(read("history", 1000)).startsWith("E:53300"));
+                    setFaultOfAll("53300");
+                    assertTrue(client.ask(readStatement("history", 1000)).startsWith("E:53300"));
                 } finally {
                     gateway.stop().join();
                 }
@@ -700,154 +716,157 @@
             logger.setLevel(null);
         }
         String id = lines.get(0).split(" ")[1];
-        List<String> way = lines.stream().filter(l -> l.startsWith("rpc " + id + " ")).toList();
-        assertTrue(way.get(0).contains("taken: history") && way.get(1).contains("sent to "), way.toString());
-        String last = way.get(way.size() - 1);
+        List<String> trace = lines.stream().filter(l -> l.startsWith("rpc " + id + " ")).toList();
+        assertTrue(trace.get(0).contains("taken: history") && trace.get(1).contains("sent to "), trace.toString());
+        String last = trace.get(trace.size() - 1);
         assertTrue(last.contains("rpc.pushedback: ") && last.contains("three "), last);
     }
 
-    /** Guards what was taken before a stop and could wait for longer than the platform leaves until the kill. */
-    @Test void stopAnswersWhatWouldWaitBeyondIt() throws IOException {
-        JsonObject patient = configuration();
-        patient.getAsJsonObject("settings").getAsJsonArray("Grades").forEach(
-                g -> g.getAsJsonObject().addProperty("GiveUp", 8000.0));
-        start(patient);
+    /** Prevents RPCs from getting no answer, which happens when their deadline is later than the platform's kill. */
+    @Test void shutdownAnswersRpcsWithLaterDeadlines() throws IOException {
+        JsonObject config = configuration();
+        config.getAsJsonObject("settings").getAsJsonArray("Grades").forEach(
+                method -> method.getAsJsonObject().addProperty("GiveUp", 8000.0));
+        start(config);
         try (Client client = ready(); Client second = new Client().startup()) {
             primary.fault = "silent";
-            long probes = count("probe");
-            client.send(Messages.query(Unpooled.buffer(), write(8000, "a")));
-            await(() -> count("probe") > probes, "the primary is put aside"); // what comes now is held
-            second.send(Messages.query(Unpooled.buffer(), write(8000, "b")));
-            await(() -> count("rpc.inhand") == 2, "both are taken");
+            long probes = counter("probe");
+            client.send(Messages.query(Unpooled.buffer(), writeStatement(8000, "a")));
+            await(() -> counter("probe") > probes, "the primary is ejected"); // further writes are held
+            second.send(Messages.query(Unpooled.buffer(), writeStatement(8000, "b")));
+            await(() -> counter("rpc.inhand") == 2, "both RPCs are in flight");
             var stopped = gateway.stop();
-            assertEquals("E:58000 Z", client.answer());
-            assertTrue(second.answer().startsWith("E:5"), "an answer before the end");
-            assertEquals("closed", second.answer());
+            assertEquals("E:58000 Z", client.readAnswer());
+            assertTrue(second.readAnswer().startsWith("E:5"), "answered before the gateway stops");
+            assertEquals("closed", second.readAnswer());
             stopped.join();
         }
     }
 
-    /** The longest deadline was counted as three seconds at least: where it is shorter the kill came first. */
-    @Test void stopEndsBeforeTheKill() {
+    /** Prevents the kill from coming first, which happened where a longest deadline below 3 s was counted as 3 s. */
+    @Test void shutdownEndsBeforeTheKill() {
         assertTrue(Shutdown.maxDurationNanos(1_000_000_000L) < 1_700_000_000L);
         assertTrue(Shutdown.maxDurationNanos(9_000_000_000L) < 3_700_000_000L);
     }
 
-    /** The answer to what came before is owed all the same; the error and the end come after it. */
-    @Test void whatIsTakenIsAnsweredThoughNonsenseFollows() throws IOException {
-        try (Client client = ready(); Client second = new Client().startup(); Client half = new Client().startup();
-                Client silent = new Client(); Client huge = new Client().startup()) {
+    /** An RPC that came before malformed input still gets its answer; the error and the close follow it. */
+    @Test void rpcIsAnsweredThoughMalformedInputFollows() throws IOException {
+        try (Client client = ready(); Client second = new Client().startup();
+                Client incomplete = new Client().startup(); Client silent = new Client();
+                Client huge = new Client().startup()) {
             primary.fault = "silent";
-            String sql = write(2900, "a");
+            String sql = writeStatement(2900, "a");
             client.send(Messages.query(Unpooled.buffer(), sql).writeByte('?').writeInt(-4).writeZero(9));
-            half.send(Messages.query(Unpooled.buffer(), write(2900, "b")).writeByte('Q').writeInt(99).writeZero(9));
-            await(() -> primary.statements.size() == 2, "both are out");
+            incomplete.send(Messages.query(Unpooled.buffer(), writeStatement(2900, "b")).writeByte('Q').writeInt(99)
+                    .writeZero(9));
+            await(() -> primary.statements.size() == 2, "both statements reached the primary");
             assertEquals("E:42601 Z", second.ask(sql), "the id of an RPC that is open");
             huge.send(Unpooled.buffer().writeByte('Q').writeInt(60_000_004));
             assertThrows(IOException.class, () -> {
                 for (int i = 0; i < 600; i++) {
                     huge.socket.getOutputStream().write(new byte[100_000]);
                 }
-            }, "60 MB were taken in");
-            assertEquals("E:58000 Z", client.answer());
-            assertEquals("E:08P01 closed", client.answer());
-            assertEquals("E:58000 Z", half.answer());
-            assertEquals("E:08P01 closed", half.answer());
-            assertEquals("closed", silent.answer());
-            assertEquals(1, count("client.closed.silent"));
+            }, "the gateway read 60 MB of a message that is too long");
+            assertEquals("E:58000 Z", client.readAnswer());
+            assertEquals("E:08P01 closed", client.readAnswer());
+            assertEquals("E:58000 Z", incomplete.readAnswer());
+            assertEquals("E:08P01 closed", incomplete.readAnswer());
+            assertEquals("closed", silent.readAnswer());
+            assertEquals(1, counter("client.closed.silent"));
             primary.fault = "";
-            assertEquals("T D:c C Z", second.ask(write(2900, "c")), "who keeps to the protocol stays");
+            assertEquals("T D:c C Z", second.ask(writeStatement(2900, "c")), "a valid client stays connected");
         }
-        await(() -> count("client.open") == 0, "the others are gone");
+        await(() -> counter("client.open") == 0, "all clients are closed");
     }
 
-    /** Hundreds at once: each is answered, in its order, and others have their turn. */
-    @Test void hundredsOfCommandsAtOnceLeaveOthersTheirTurn() throws IOException {
-        try (Client client = ready(); Client many = new Client().startup()) {
-            ByteBuf all = Unpooled.buffer();
+    /** Each of many pipelined commands is answered, in order, and other clients are served in between. */
+    @Test void hundredsOfPipelinedCommandsDoNotDelayOtherClients() throws IOException {
+        try (Client client = ready(); Client pipelining = new Client().startup()) {
+            ByteBuf messages = Unpooled.buffer();
             for (int i = 0; i < 900; i++) {
-                Messages.query(all, i % 3 == 0 ? "SET x = 1" : "nonsense");
+                Messages.query(messages, i % 3 == 0 ? "SET x = 1" : "nonsense");
             }
-            many.send(all);
-            assertEquals("T D: C Z", client.ask(read("history", 1000)));
+            pipelining.send(messages);
+            assertEquals("T D: C Z", client.ask(readStatement("history", 1000)));
             for (int i = 0; i < 900; i++) {
-                assertEquals(i % 3 == 0 ? "C Z" : "E:42601 Z", many.answer());
+                assertEquals(i % 3 == 0 ? "C Z" : "E:42601 Z", pipelining.readAnswer());
             }
         }
     }
 
-    /** Hundreds that say nothing make room at once, and messages that don't end take no memory from others. */
-    @Test void clientsThatGiveNothingTakeNothing() throws IOException {
-        JsonObject small = configuration();
-        small.getAsJsonObject("limits").addProperty("sockets", 128);
-        small.getAsJsonObject("limits").addProperty("memory_mb", 8);
-        start(small);
+    /** Hundreds of silent clients are closed for new ones at once; incomplete messages take no memory from others. */
+    @Test void silentClientsAndIncompleteMessagesFreeTheirResources() throws IOException {
+        JsonObject config = configuration();
+        config.getAsJsonObject("limits").addProperty("sockets", 128);
+        config.getAsJsonObject("limits").addProperty("memory_mb", 8);
+        start(config);
         Limits limits = new Limits(128, 8);
         List<Client> clients = new ArrayList<>(List.of(ready()));
         for (int i = 0; i < 300; i++) {
             clients.add(new Client());
-            assertTrue(count("client.open") <= limits.maxClients + 16, "the loop accepts up to sixteen at once");
+            assertTrue(counter("client.open") <= limits.maxClients + 16, "up to sixteen are accepted at once");
         }
-        serveOne();
-        for (Client each : clients) {
-            each.close();
+        assertNewClientIsServed();
+        for (Client client : clients) {
+            client.close();
         }
-        await(() -> count("client.open") == 0, "they are gone");
+        await(() -> counter("client.open") == 0, "the silent clients are closed");
         clients.clear();
         for (int i = 0; i < 20; i++) {
-            Client half = new Client().startup();
-            half.send(Unpooled.buffer().writeByte('Q').writeInt(250_000).writeZero(200_000));
-            clients.add(half);
-            assertTrue(count("client.partialbytes") <= (1 << 20) + 300_000, "" + count("client.partialbytes"));
+            Client incomplete = new Client().startup();
+            incomplete.send(Unpooled.buffer().writeByte('Q').writeInt(250_000).writeZero(200_000));
+            clients.add(incomplete);
+            assertTrue(counter("client.partialbytes") <= (1 << 20) + 300_000, "" + counter("client.partialbytes"));
         }
-        await(() -> count("client.closed.partial") > 0, "the longest go");
-        serveOne();
-        assertEquals(0, count("client.closed.silent"), "none of this waited for time to pass");
-        for (Client each : clients) {
-            each.close();
+        await(() -> counter("client.closed.partial") > 0, "the longest incomplete messages are rejected");
+        assertNewClientIsServed();
+        assertEquals(0, counter("client.closed.silent"), "none of these closes waited for a timeout");
+        for (Client client : clients) {
+            client.close();
         }
-        await(() -> count("client.partialbytes") == 0, "all is given back");
+        await(() -> counter("client.partialbytes") == 0, "the memory is released");
     }
 
-    /** What a long day brings in ever new leaves nothing behind: members, sessions, ids, keys. */
-    @Test void sizesAreBackWhereTheyWereAfterThousands() throws IOException {
+    /** Prevents leaks of state per member, session, RPC id or key, which grow over a day of operation. */
+    @Test void thousandsOfMembersAndSessionsLeaveNoState() throws IOException {
         try (Client client = ready()) {
-            assertEquals("T D: C Z", client.ask(read("history", 1000)));
-            long known = count("member.known");
+            assertEquals("T D: C Z", client.ask(readStatement("history", 1000)));
+            long known = counter("member.known");
             for (int i = 0; i < 2000; i += 100) {
-                StringBuilder up = new StringBuilder();
+                StringBuilder members = new StringBuilder();
                 for (int j = i; j < i + 100; j++) {
-                    up.append(up.length() > 0 ? "," : "").append("{\"instanceId\":\"x" + j + "\",\"cell\":1,")
+                    members.append(members.length() > 0 ? "," : "").append("{\"instanceId\":\"x" + j + "\",\"cell\":1,")
                             .append("\"hostPort\":\"127.0.0.1:1\",\"lifecycle\":\"draining\"}");
                 }
-                String some = up.toString();
-                long lists = count("discovery.lists");
-                world.sendRaw("{\"generation\":9,\"instances\":[" + some + "]}\n");
-                world.sendRaw("{\"generation\":9,\"instances\":[" + some.replace("draining", "gone") + "]}\n");
-                await(() -> count("discovery.lists") == lists + 2, "both are read");
-                try (Client once = new Client().startup()) {
-                    assertEquals("T D: C Z", once.ask(read("history", 1000).replace("'k'", "'k" + i + "'")));
+                String entries = members.toString();
+                long lists = counter("discovery.lists");
+                standIn.sendRaw("{\"generation\":9,\"instances\":[" + entries + "]}\n");
+                standIn.sendRaw("{\"generation\":9,\"instances\":[" + entries.replace("draining", "gone") + "]}\n");
+                await(() -> counter("discovery.lists") == lists + 2, "both lists are read");
+                try (Client session = new Client().startup()) {
+                    assertEquals("T D: C Z",
+                            session.ask(readStatement("history", 1000).replace("'k'", "'k" + i + "'")));
                 }
             }
-            assertEquals(known, count("member.known"));
-            await(() -> count("client.open") == 1, "sessions are gone");
-            assertEquals(0, count("rpc.inhand"));
-            assertTrue(count("member.open") < 40, "of two thousand members " + count("member.open"));
+            assertEquals(known, counter("member.known"));
+            await(() -> counter("client.open") == 1, "the sessions are closed");
+            assertEquals(0, counter("rpc.inhand"));
+            assertTrue(counter("member.open") < 40, "connections to two thousand members: " + counter("member.open"));
         }
     }
 
-    private void serveOne() throws IOException {
+    private void assertNewClientIsServed() throws IOException {
         try (Client late = new Client().startup()) {
-            assertEquals("T D: C Z", late.ask(read("history", 1000)));
+            assertEquals("T D: C Z", late.ask(readStatement("history", 1000)));
         }
     }
 
-    /** Who has just come was closed for room before who is free, and came again, and closed the next. */
-    @Test void sessionThatHasJustComeIsNotClosedForRoom() throws IOException {
-        JsonObject small = configuration();
-        small.getAsJsonObject("limits").addProperty("sockets", 128);
-        small.getAsJsonObject("settings").getAsJsonObject("Allowed").addProperty("ConnectTimeout", 5000.0);
-        start(small);
+    /** Prevents a cascade, which happens when new sessions are closed before idle ones: they reconnect, and so on. */
+    @Test void newSessionIsNotClosedToFreeDescriptors() throws IOException {
+        JsonObject config = configuration();
+        config.getAsJsonObject("limits").addProperty("sockets", 128);
+        config.getAsJsonObject("settings").getAsJsonObject("Allowed").addProperty("ConnectTimeout", 5000.0);
+        start(config);
         List<Client> clients = new ArrayList<>(List.of(ready()));
         while (clients.size() < new Limits(128, 192).clientsSoftLimit) {
             clients.add(new Client().startup());
@@ -855,82 +874,86 @@
         for (int i = 0; i < 5; i++) {
             clients.add(new Client());
         }
-        await(() -> count("client.closed.room") == 5, "free ones make room");
-        for (Client young : clients.subList(clients.size() - 5, clients.size())) {
-            assertEquals("T D: C Z", young.startup().ask(read("history", 1000)));
+        await(() -> counter("client.closed.room") == 5, "idle sessions are closed");
+        for (Client newClient : clients.subList(clients.size() - 5, clients.size())) {
+            assertEquals("T D: C Z", newClient.startup().ask(readStatement("history", 1000)));
         }
-        for (Client each : clients) {
-            each.close();
+        for (Client client : clients) {
+            client.close();
         }
     }
 
-    /** Clients that open a connection for each RPC and leave it fill no front's share; those yet to ask stay. */
-    @Test void connectionsThatAskedOnceMakeRoom() throws IOException {
-        JsonObject some = configuration();
-        some.getAsJsonObject("limits").addProperty("sockets", 384);
-        some.getAsJsonObject("settings").getAsJsonObject("Allowed").addProperty("ConnectTimeout", 5000.0);
-        start(some);
-        int wanted = new Limits(384, 192).startedSessionsSoftLimit;
+    /**
+     * Prevents fronts from running out of the descriptors they allow themselves, which happens when clients open a
+     * connection for each RPC and leave it open. Sessions that have yet to send a statement stay open.
+     */
+    @Test void idleSessionsBeyondTheSoftLimitAreClosed() throws IOException {
+        JsonObject config = configuration();
+        config.getAsJsonObject("limits").addProperty("sockets", 384);
+        config.getAsJsonObject("settings").getAsJsonObject("Allowed").addProperty("ConnectTimeout", 5000.0);
+        start(config);
+        int softLimit = new Limits(384, 192).startedSessionsSoftLimit;
         List<Client> clients = new ArrayList<>();
-        for (int i = 0; i < wanted + 10; i++) {
+        for (int i = 0; i < softLimit + 10; i++) {
             clients.add(new Client().startup());
         }
-        assertEquals(0, count("client.closed.room"));
-        for (Client each : clients) {
-            assertEquals("T D: C Z", each.ask(read("history", 1000)));
+        assertEquals(0, counter("client.closed.room"));
+        for (Client client : clients) {
+            assertEquals("T D: C Z", client.ask(readStatement("history", 1000)));
         }
-        await(() -> count("client.open") == wanted, "the rest is closed");
-        assertEquals(10, count("client.closed.room"));
-        assertEquals("closed", clients.get(0).answer());
-        for (Client each : clients) {
-            each.close();
+        await(() -> counter("client.open") == softLimit, "the sessions above the soft limit are closed");
+        assertEquals(10, counter("client.closed.room"));
+        assertEquals("closed", clients.get(0).readAnswer());
+        for (Client client : clients) {
+            client.close();
         }
     }
 
-    /** Beyond the limit, sessions between RPCs make room, and those with one in hand do not. */
+    /** Beyond the limit idle sessions are closed, and those with an RPC in flight are not. */
     @Test void descriptorsStayUnderTheLimit() throws IOException {
-        JsonObject small = configuration();
-        small.getAsJsonObject("limits").addProperty("sockets", 128);
-        start(small);
+        JsonObject config = configuration();
+        config.getAsJsonObject("limits").addProperty("sockets", 128);
+        start(config);
         Limits limits = new Limits(128, 192);
         List<Client> clients = new ArrayList<>(List.of(ready()));
         primary.fault = "silent";
-        clients.get(0).send(Messages.query(Unpooled.buffer(), write(3000, "a")));
-        await(() -> primary.statements.size() == 1, "one has an RPC in hand");
+        clients.get(0).send(Messages.query(Unpooled.buffer(), writeStatement(3000, "a")));
+        await(() -> primary.statements.size() == 1, "one session has an RPC in flight");
         for (int i = 0; i < 3 * limits.maxClients; i++) {
             Client client = new Client().startup();
-            assertEquals("T D: C Z", client.ask(read("history", 1000)));
+            assertEquals("T D: C Z", client.ask(readStatement("history", 1000)));
             clients.add(client);
-            assertTrue(count("client.open") <= limits.maxClients && count("member.open") <= limits.maxMemberConnections);
+            assertTrue(counter("client.open") <= limits.maxClients
+                    && counter("member.open") <= limits.maxMemberConnections);
         }
-        assertTrue(count("client.closed.room") > 0);
-        assertEquals("E:58000 Z", clients.get(0).answer());
+        assertTrue(counter("client.closed.room") > 0);
+        assertEquals("E:58000 Z", clients.get(0).readAnswer());
         for (Client client : clients) {
             client.close();
         }
     }
 
-    /** Statements held for answers stay within the memory told; what has no room is read later. */
+    /** Statements held until they are answered stay within the memory limit; further ones are read later. */
     @Test void memoryForHeldStatementsIsBounded() throws IOException {
-        JsonObject small = configuration();
-        small.getAsJsonObject("limits").addProperty("memory_mb", 8);
-        start(small);
+        JsonObject config = configuration();
+        config.getAsJsonObject("limits").addProperty("memory_mb", 8);
+        start(config);
         ready().close();
         primary.fault = "silent";
         List<Client> clients = new ArrayList<>();
         String big = "x".repeat(200_000);
         for (int i = 0; i < 40; i++) {
             Client client = new Client().startup();
-            client.send(Messages.query(Unpooled.buffer(), write(600, big)));
+            client.send(Messages.query(Unpooled.buffer(), writeStatement(600, big)));
             clients.add(client);
-            assertTrue(count("client.heldbytes") < (1 << 20) + 300_000, "held " + count("client.heldbytes"));
+            assertTrue(counter("client.heldbytes") < (1 << 20) + 300_000, "bytes held: " + counter("client.heldbytes"));
         }
         for (Client client : clients) {
-            String got = client.answer();
-            assertTrue(got.equals("E:58000 Z") || got.startsWith("E:53300"), got);
+            String answer = client.readAnswer();
+            assertTrue(answer.equals("E:58000 Z") || answer.startsWith("E:53300"), answer);
             client.close();
         }
-        await(() -> count("client.heldbytes") == 0, "all is given back");
+        await(() -> counter("client.heldbytes") == 0, "the memory is released");
     }
 
     @Test void eachRpcOfARandomRunGetsOneAnswer() throws Exception {
@@ -938,26 +961,27 @@
         String[] faults = {"", "", "", "53300", "XX000", "reset", "silent", "half", "garbage", "72000", "crowded"};
         List<Thread> threads = new ArrayList<>();
         long[] answers = new long[6];
-        for (int t = 0; t < answers.length; t++) {
-            int me = t;
+        for (int index = 0; index < answers.length; index++) {
+            int clientNumber = index;
             Client client = new Client().startup();
             threads.add(new Thread(() -> {
-                SplittableRandom random = new SplittableRandom(me);
+                SplittableRandom random = new SplittableRandom(clientNumber);
                 try (client) {
                     for (int i = 0; i < 60; i++) {
-                        world.server(List.of("one", "two", "three").get(random.nextInt(3))).fault =
+                        standIn.server(List.of("one", "two", "three").get(random.nextInt(3))).fault =
                                 faults[random.nextInt(faults.length)];
-                        String mine = me + "x" + i;
-                        String sql = random.nextInt(3) > 0 ? read("history", 150)
-                                : head("order", 150, ",k=1") + "INSERT INTO facts (code, data) VALUES ('" + me + "', '"
-                                + mine + "') RETURNING data";
-                        String got = client.ask(sql);
-                        boolean own = sql.contains("INSERT") ? got.equals("T D:" + mine + " C Z")
-                                : got.equals("T D: C Z");
-                        answers[me] += own || got.equals("E:58000 Z") || got.startsWith("E:53300") ? 1 : 0;
+                        String ownValue = clientNumber + "x" + i;
+                        String sql = random.nextInt(3) > 0 ? readStatement("history", 150)
+                                : leadingComment("order", 150, ",k=1") + "INSERT INTO facts (code, data) VALUES ('"
+                                + clientNumber + "', '" + ownValue + "') RETURNING data";
+                        String answer = client.ask(sql);
+                        boolean isOwnAnswer = sql.contains("INSERT") ? answer.equals("T D:" + ownValue + " C Z")
+                                : answer.equals("T D: C Z");
+                        answers[clientNumber] += isOwnAnswer || answer.equals("E:58000 Z")
+                                || answer.startsWith("E:53300") ? 1 : 0;
                     }
                 } catch (IOException e) {
-                    answers[me] = -1;
+                    answers[clientNumber] = -1;
                 }
             }));
         }
@@ -965,32 +989,32 @@
         for (Thread thread : threads) {
             thread.join();
         }
-        for (long n : answers) {
-            assertEquals(60, n);
+        for (long count : answers) {
+            assertEquals(60, count);
         }
-        assertEquals(360, count("rpc.taken"));
+        assertEquals(360, counter("rpc.taken"));
     }
 
-    /** Somebody else's idea of the protocol. */
-    @Test void independentClientLibraryIsServed() throws Exception {
+    /** The PostgreSQL JDBC driver, an independent implementation of the protocol, can use the gateway. */
+    @Test void jdbcDriverIsServed() throws Exception {
         ready().close();
         String url = "jdbc:postgresql://127.0.0.1:" + address.getPort() + "/crm?preferQueryMode=simple&user=portal";
         try (Connection connection = DriverManager.getConnection(url);
                 Statement statement = connection.createStatement()) {
-            try (ResultSet rows = statement.executeQuery(write(3000, "jdbc"))) {
+            try (ResultSet rows = statement.executeQuery(writeStatement(3000, "jdbc"))) {
                 assertTrue(rows.next());
                 assertEquals("jdbc", rows.getString(1));
             }
             SQLException refused = assertThrows(SQLException.class, () -> statement.executeQuery("SELECT 1"));
             assertEquals("42601", refused.getSQLState());
-            all("53300");
+            setFaultOfAll("53300");
             assertEquals("53300", assertThrows(SQLException.class,
-                    () -> statement.executeQuery(read("history", 200))).getSQLState());
+                    () -> statement.executeQuery(readStatement("history", 200))).getSQLState());
         }
     }
 
-    /** On part of a core the first seconds in service went to compiling what serves: that is done before. */
-    @Test void rehearsalServesEveryMethodManyTimes() throws IOException {
+    /** Prevents slow first seconds of service, which happen when a JVM on part of a core still has to compile. */
+    @Test void warmUpServesEveryMethodManyTimes() throws IOException {
         Map<String, Long> counters = WarmUp.run(configuration().toString());
         assertTrue(counters.getOrDefault("rpc.ok", 0L) > 200, counters.toString());
         assertEquals(counters.get("rpc.taken"), counters.get("rpc.ok") + counters.getOrDefault("rpc.pushedback", 0L)
@@ -998,16 +1022,16 @@
         assertTrue(counters.keySet().stream().noneMatch(n -> n.startsWith("broken")), counters.toString());
     }
 
-    @Test void configurationThatCannotBeReadIsNamed() {
-        for (String bad : List.of("{", "[]", "{}",
+    @Test void invalidConfigurationsAreRejected() {
+        for (String invalid : List.of("{", "[]", "{}",
                 "{\"listen\":\"localhost:1\",\"settings\":{},\"discovery\":\"127.0.0.1:1\"}",
                 "{\"listen\":\"x\",\"settings\":{},\"discovery\":\"a:1\"}",
                 "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":{},\"seed\":\"zz\"}")) {
-            assertThrows(IllegalArgumentException.class, () -> Configuration.parse(bad), bad);
+            assertThrows(IllegalArgumentException.class, () -> Configuration.parse(invalid), invalid);
         }
-        JsonObject wrong = configuration();
-        wrong.getAsJsonObject("settings").addProperty("Tick", "soon");
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> start(wrong)).getMessage().contains("soon"));
+        JsonObject config = configuration();
+        config.getAsJsonObject("settings").addProperty("Tick", "soon");
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> start(config)).getMessage().contains("soon"));
         gateway = null;
     }
 }
--- a/src/test/java/reedquay/pg/FrameDecoderTest.java
+++ b/src/test/java/reedquay/pg/FrameDecoderTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Test;
 
 class FrameDecoderTest {
-    private static List<String> decode(EmbeddedChannel channel, ByteBuf stream, int step) {
+    private static List<String> decode(EmbeddedChannel channel, ByteBuf stream, int chunkBytes) {
         List<String> frames = new ArrayList<>();
         while (stream.isReadable()) {
-            channel.writeInbound(stream.readRetainedSlice(Math.min(step, stream.readableBytes())));
+            channel.writeInbound(stream.readRetainedSlice(Math.min(chunkBytes, stream.readableBytes())));
             for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
                 frames.add((char) f.type + ByteBufUtil.hexDump(f.content()));
                 assertEquals(f.content().readableBytes(), f.bodyLength() + (f.type == Frame.UNTYPED ? 4 : 5));
@@ -29,43 +29,45 @@
         return frames;
     }
 
-    /** Whatever the network cuts, the same messages come out, as the bytes that went in. */
-    @Test void framesAreTheSameByteByByteAndAllAtOnce() {
+    /** However the network splits the stream, the same messages come out, with the bytes that went in. */
+    @Test void messagesAreTheSameHoweverTheStreamIsSplit() {
         SplittableRandom random = new SplittableRandom(11);
         for (int round = 0; round < 6; round++) {
             ByteBuf stream = Messages.startupMessage(Unpooled.buffer(), "portal", "crm");
             List<String> expected = new ArrayList<>(List.of("\0" + ByteBufUtil.hexDump(stream)));
             for (int i = 0; i < 20; i++) {
-                int from = stream.writerIndex();
+                int start = stream.writerIndex();
                 switch (random.nextInt(4)) {
                     case 0 -> Messages.query(stream, "SELECT " + "x".repeat(random.nextInt(3000)));
                     case 1 -> Messages.query(stream, "");
                     case 2 -> stream.writeByte('S').writeInt(4);
                     default -> Messages.commandComplete(stream, "ä".repeat(random.nextInt(20)));
                 }
-                expected.add((char) stream.getByte(from)
-                        + ByteBufUtil.hexDump(stream, from, stream.writerIndex() - from));
+                expected.add((char) stream.getByte(start)
+                        + ByteBufUtil.hexDump(stream, start, stream.writerIndex() - start));
             }
-            for (int step : new int[] {1, 7, 1 + random.nextInt(900), stream.readableBytes()}) {
-                assertEquals(expected, decode(new EmbeddedChannel(FrameDecoder.forClient(9000)), stream.copy(), step));
+            for (int chunkBytes : new int[] {1, 7, 1 + random.nextInt(900), stream.readableBytes()}) {
+                assertEquals(expected,
+                        decode(new EmbeddedChannel(FrameDecoder.forClient(9000)), stream.copy(), chunkBytes));
             }
             stream.release();
         }
     }
 
-    @Test void encryptionIsAskedForBeforeTheFirstMessage() {
-        ByteBuf stream = Unpooled.buffer().writeInt(8).writeInt(Frame.SSL_REQUEST).writeInt(8).writeInt(Frame.GSS_ENCRYPTION_REQUEST);
+    @Test void encryptionRequestsMayComeBeforeTheStartupMessage() {
+        ByteBuf stream = Unpooled.buffer().writeInt(8).writeInt(Frame.SSL_REQUEST).writeInt(8)
+                .writeInt(Frame.GSS_ENCRYPTION_REQUEST);
         Messages.query(Messages.startupMessage(stream, "u", "d"), "SELECT 1");
         assertEquals(4, decode(new EmbeddedChannel(FrameDecoder.forClient(99)), stream, 3).size());
     }
 
-    @Test void lengthsAndTypesThatCannotBeEndTheStream() {
-        ByteBuf[] bad = {Unpooled.buffer().writeInt(3), Unpooled.buffer().writeInt(-1),
+    @Test void invalidLengthsAndTypesEndTheStream() {
+        ByteBuf[] invalidStreams = {Unpooled.buffer().writeInt(3), Unpooled.buffer().writeInt(-1),
             Unpooled.buffer().writeInt(20_000),
             Messages.startupMessage(Unpooled.buffer(), "u", "d").writeByte('Q').writeInt(3),
             Messages.startupMessage(Unpooled.buffer(), "u", "d").writeByte('Q').writeInt(1 << 30),
             Messages.startupMessage(Unpooled.buffer(), "u", "d").writeByte('?').writeInt(4)};
-        for (ByteBuf stream : bad) {
+        for (ByteBuf stream : invalidStreams) {
             stream.writeZero(8);
             EmbeddedChannel channel = new EmbeddedChannel(FrameDecoder.forClient(9000));
             assertThrows(CorruptedFrameException.class, () -> channel.writeInbound(stream));
@@ -75,49 +77,50 @@
                 types.add((int) f.type);
                 f.release();
             }
-            assertFalse(types.contains((int) 'Q'), "what follows a broken frame is not read");
+            assertFalse(types.contains((int) 'Q'), "messages after a malformed one are discarded");
             channel.finishAndReleaseAll();
         }
     }
 
-    /** Garbage comes to the same however it is cut: the same messages, the same end, and nothing is kept. */
-    @Test void garbageIsTheSameCutAnywhere() {
+    /** Random bytes decode to the same result wherever the stream is split: messages, errors and decoder state. */
+    @Test void randomBytesDecodeTheSameHoweverTheyAreSplit() {
         SplittableRandom random = new SplittableRandom(12);
         for (int round = 0; round < 200; round++) {
-            boolean client = random.nextBoolean();
+            boolean fromClient = random.nextBoolean();
             byte[] bytes = new byte[40 + random.nextInt(60)];
             random.nextBytes(bytes);
-            ByteBuf stream = client ? Messages.startupMessage(Unpooled.buffer(), "u", "d") : Unpooled.buffer();
+            ByteBuf stream = fromClient ? Messages.startupMessage(Unpooled.buffer(), "u", "d") : Unpooled.buffer();
             if (random.nextBoolean()) {
                 stream.writeByte("QDTEZ".charAt(random.nextInt(5))).writeInt(4 + random.nextInt(30));
             }
             stream.writeBytes(bytes);
             String expected = null;
-            for (int cut = 0; cut <= stream.readableBytes(); cut++) {
-                FrameDecoder decoder = client ? FrameDecoder.forClient(9000) : FrameDecoder.forServer(9000);
+            for (int splitAt = 0; splitAt <= stream.readableBytes(); splitAt++) {
+                FrameDecoder decoder = fromClient ? FrameDecoder.forClient(9000) : FrameDecoder.forServer(9000);
                 EmbeddedChannel channel = new EmbeddedChannel(decoder);
-                StringBuilder got = new StringBuilder();
-                for (ByteBuf part : List.of(stream.copy(0, cut), stream.copy(cut, stream.readableBytes() - cut))) {
+                StringBuilder result = new StringBuilder();
+                for (ByteBuf part : List.of(stream.copy(0, splitAt),
+                        stream.copy(splitAt, stream.readableBytes() - splitAt))) {
                     try {
                         channel.writeInbound(part);
                     } catch (CorruptedFrameException e) {
-                        got.append("!");
+                        result.append("!");
                     }
                 }
                 for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
-                    got.append((char) f.type).append(f.isWellFormed()).append(ByteBufUtil.hexDump(f.content()));
+                    result.append((char) f.type).append(f.isWellFormed()).append(ByteBufUtil.hexDump(f.content()));
                     f.release();
                 }
-                got.append(decoder.hasPartialMessage()).append(decoder.bufferedBytes());
-                expected = expected == null ? got.toString() : expected;
-                assertEquals(expected, got.toString());
+                result.append(decoder.hasPartialMessage()).append(decoder.bufferedBytes());
+                expected = expected == null ? result.toString() : expected;
+                assertEquals(expected, result.toString());
                 channel.finishAndReleaseAll();
             }
             stream.release();
         }
     }
 
-    @Test void fieldsOfAnErrorAreReadBack() {
+    @Test void errorResponseFieldsAreReadBack() {
         Frame frame = new Frame((byte) 'E', Messages.errorResponse(Unpooled.buffer(), "ERROR", "53300", "füll", "120"));
         assertEquals("53300", frame.errorFields().get('C'));
         assertEquals("füll", frame.errorFields().get('M'));
@@ -125,7 +128,7 @@
         frame.release();
     }
 
-    @Test void onlyTheGivenBytesOfAQueryAreReplaced() {
+    @Test void queryKeepsAllBytesButTheReplacedOnes() {
         Frame frame = new Frame((byte) 'Q', Messages.query(Unpooled.buffer(), "/* d=1500,x=1 */ SELECT ü"));
         ByteBuf query = Messages.query(UnpooledByteBufAllocator.DEFAULT, frame, 5, 9, 73);
         ByteBuf expected = Messages.query(Unpooled.buffer(), "/* d=73,x=1 */ SELECT ü");
