--- a/src/main/java/reedquay/net/ClientSession.java
+++ b/src/main/java/reedquay/net/ClientSession.java
@@ -21,6 +21,10 @@
 
 /** One client's connection: handles its messages in order and has at most one RPC in flight. Times in nanoseconds. */
 final class ClientSession extends ChannelInboundHandlerAdapter {
+    /**
+     * AWAITING_READINESS: an empty query waits until the gateway is ready; IN_FLIGHT: an RPC is; SKIPPING_TO_SYNC:
+     * after an extended-query message, all messages up to the client's Sync are skipped.
+     */
     private enum State { STARTUP, IDLE, AWAITING_READINESS, IN_FLIGHT, SKIPPING_TO_SYNC, CLOSING }
 
     /** Messages handled for one client before the others have their turn. */
@@ -141,7 +145,7 @@
 
     /**
      * Closes a connection that holds resources without use: a client that sends nothing, one whose message never ends,
-     * and one that still sends after a fatal error. lingerTimeout: how long the last of these may go on.
+     * and one that still sends after a fatal error. lingerTimeout: how long the last of these may go on sending.
      */
     void sweep(long now, long lingerTimeout) {
         if (state == State.CLOSING) {
--- a/src/main/java/reedquay/net/MemberConnection.java
+++ b/src/main/java/reedquay/net/MemberConnection.java
@@ -16,6 +16,10 @@
 
 /** One connection to a member; carries one request at a time. Times in nanoseconds. */
 final class MemberConnection extends ChannelInboundHandlerAdapter {
+    /**
+     * OPENING until the startup is complete, SETTLING for a tick after a response, RESERVED for a request that the
+     * routing engine has yet to confirm, BUSY from the query to the end of its response.
+     */
     enum State { OPENING, SETTLING, IDLE, RESERVED, BUSY, CLOSED }
 
     /** The message types of a result, in order and once each: RowDescription, DataRow, CommandComplete. */
--- a/src/main/java/reedquay/net/Pool.java
+++ b/src/main/java/reedquay/net/Pool.java
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Cancels a request that has not been written; a connection reserved for it goes to the next request. */
+    /** Withdraws a request that has not been written; a connection reserved for it serves the next one. */
     void withdraw(MemberRequest request) {
         MemberConnection reserved = request.connection;
         if (reserved == null) {
--- a/src/main/java/reedquay/net/Statement.java
+++ b/src/main/java/reedquay/net/Statement.java
@@ -159,7 +159,7 @@
     }
 
     /** Throws InvalidStatementException where the statement does not have the form that RPCs of this method have. */
-    void validateFor(Method method) throws InvalidStatementException {
+    void validateFor(Method rpcMethod) throws InvalidStatementException {
         ByteBuf content = frame.content();
         int start = frame.bodyStart() + sqlOffset;
         while (content.getByte(start) <= ' ' && content.getByte(start) > 0) {
@@ -167,10 +167,11 @@
         }
         int length = Math.min(6, content.writerIndex() - start);
         String verb = content.toString(start, length, StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
-        if (method.consistency() == Method.Consistency.WRITE ? !WRITE_VERBS.contains(verb) : !verb.equals("SELECT")) {
+        if (rpcMethod.consistency() == Method.Consistency.WRITE ? !WRITE_VERBS.contains(verb)
+                : !verb.equals("SELECT")) {
             throw new InvalidStatementException("the statement is not of its class");
         }
-        if (method.retrySafety() == Method.RetrySafety.TOKENED && token == null) {
+        if (rpcMethod.retrySafety() == Method.RetrySafety.TOKENED && token == null) {
             throw new InvalidStatementException("expected k in the leading comment");
         }
     }
--- a/src/main/java/reedquay/net/WarmUp.java
+++ b/src/main/java/reedquay/net/WarmUp.java
@@ -31,7 +31,7 @@
  * Warms up the JVM before a gateway starts: sends RPCs through another gateway with the same settings to members that
  * answer at once, all within this process and on its own address. Prevents a slow start of service, which happens when
  * the JVM has only part of a core and takes seconds to compile what serving needs. A class archive that is written
- * during the run also makes the next start quicker.
+ * during the run also makes the next start quicker. The commands rehearse and serve run it.
  */
 public final class WarmUp {
     private static final int CLIENTS = 8;
--- a/src/main/java/reedquay/pg/Frame.java
+++ b/src/main/java/reedquay/pg/Frame.java
@@ -21,9 +21,9 @@
 
     public final byte type;
 
-    /** type: UNTYPED for a message without a type; whole: the message with type and length. */
-    public Frame(byte type, ByteBuf whole) {
-        super(whole);
+    /** type: UNTYPED for a message without a type; message: all of it, with type and length. */
+    public Frame(byte type, ByteBuf message) {
+        super(message);
         this.type = type;
     }
 
