--- a/lab/src/main/java/reedquay/fair/DoorCost.java
+++ b/lab/src/main/java/reedquay/fair/DoorCost.java
@@ -45,12 +45,12 @@
             Method.RetrySafety.IDEMPOTENT, Method.DeduplicationScope.ALL, 0);
 
     /** Decisions that do next to nothing: an RPC is called out at once. */
-    private static final class Straight implements RoutingEngine {
+    private static final class ImmediateDecider implements RoutingEngine {
         private final RoutingActions effects;
         private final Member member = new Member("m");
         private long now;
 
-        Straight(RoutingActions effects) { this.effects = effects; }
+        ImmediateDecider(RoutingActions effects) { this.effects = effects; }
 
         @Override public void beginBatch(long time) { now = time; }
 
@@ -74,8 +74,8 @@
     }
 
     /** A front that does nothing. */
-    private static final class Front extends Stage {
-        Front() { super(null); }
+    private static final class NoOpFront extends Stage {
+        NoOpFront() { super(null); }
 
         @Override public void sendCallOut(CallOut callOut, long limit) { }
 
@@ -95,7 +95,7 @@
         public String door;
         private RoutingEngine decider;
         private long now = 1_000_000 * MS;
-        private long id;
+        private long lastId;
         private final String[] callers = new String[1024];
 
         @Setup public void setUp() {
@@ -104,12 +104,12 @@
                     new Settings.Capabilities(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
                     new Settings.Rules(0.25, 10_000 * MS, 3, 1000 * MS, 500 * MS, 20 * MS, 10_000 * MS, false),
                     new Settings.PositionSources(true, false, true, false, false), new Settings.Costs(0, 0, 0, 0, 0));
-            Front front = new Front();
+            NoOpFront front = new NoOpFront();
             if (door.equals("NONE")) {
-                decider = new Straight(front);
+                decider = new ImmediateDecider(front);
             } else {
                 AdmissionController turns = new AdmissionController(settings, new AdmissionSettings(1000, Map.of()), front);
-                decider = turns.setNext(new Straight(turns));
+                decider = turns.setNext(new ImmediateDecider(turns));
             }
             decider.beginBatch(now);
             decider.membersListed(ListedMember.ListKind.FULL, List.of(new ListedMember(new Member("m"), "a", "s", 1, ListedMember.Phase.UP, true,
@@ -120,10 +120,10 @@
             }
         }
 
-        Rpc serve() {
+        Rpc serveOne() {
             now += 100_000;
-            Rpc rpc = new Rpc(++id, 1, null, now + 1500 * MS, false, 0, "acme", READ);
-            rpc.clientId = callers[(int) id & 1023];
+            Rpc rpc = new Rpc(++lastId, 1, null, now + 1500 * MS, false, 0, "acme", READ);
+            rpc.clientId = callers[(int) lastId & 1023];
             decider.beginBatch(now);
             decider.rpcArrived(rpc);
             decider.endBatch();
@@ -135,68 +135,68 @@
         }
     }
 
-    @Benchmark public Rpc calm(Calm calm) { return calm.serve(); }
+    @Benchmark public Rpc calm(Calm calm) { return calm.serveOne(); }
 
     /** So many flows wait; one is served and one more comes. */
     @State(Scope.Thread)
     public static class Queued {
         @Param({"1000", "100000"})
         public int flows;
-        private Flows ours;
-        private Ways way;
-        private final Map<Long, ArrayDeque<Turn>> byClient = new HashMap<>();
-        private final TreeMap<Long, Long> order = new TreeMap<>(); // by when its turn is
-        private final Map<Long, Long> turnOf = new HashMap<>();
-        private long next;
-        private long turns;
+        private FairScheduler scheduler;
+        private TrafficClass trafficClass;
+        private final Map<Long, ArrayDeque<AdmissionEntry>> entriesByClient = new HashMap<>();
+        private final TreeMap<Long, Long> clientByPosition = new TreeMap<>(); // by when its turn is
+        private final Map<Long, Long> positionByClient = new HashMap<>();
+        private long clientCounter;
+        private long lastPosition;
 
         @Setup public void setUp() {
-            ours = new Flows(flows + 1, new double[] {1, 2});
-            ours.quantum(1000);
-            way = new Ways(ours.lane(), new Promises(1, 0, 0, 1).new Calendar(0), 1, 1);
+            scheduler = new FairScheduler(flows + 1, new double[] {1, 2});
+            scheduler.setQuantum(1000);
+            trafficClass = new TrafficClass(scheduler.newQueue(), new RetryReservations(1, 0, 0, 1).new Schedule(0), 1, 1);
             for (int i = 0; i < flows; i++) {
-                ours.add(way.lane, turn(), 0);
-                plainAdd(turn());
+                scheduler.add(trafficClass.queue, newEntry(), 0);
+                addToMaps(newEntry());
             }
         }
 
-        private Turn turn() {
-            Turn turn = new Turn(new Rpc(0, 0, null, 0, false, 0, null, READ), way, (int) (next & 1), 0);
-            turn.key = ++next * 0x9E3779B97F4A7C15L;
+        private AdmissionEntry newEntry() {
+            AdmissionEntry turn = new AdmissionEntry(new Rpc(0, 0, null, 0, false, 0, null, READ), trafficClass, (int) (clientCounter & 1), 0);
+            turn.clientKey = ++clientCounter * 0x9E3779B97F4A7C15L;
             turn.cost = 900;
             return turn;
         }
 
-        private void plainAdd(Turn turn) {
-            byClient.computeIfAbsent(turn.key, k -> {
-                order.put(++turns, k);
-                turnOf.put(k, turns);
+        private void addToMaps(AdmissionEntry turn) {
+            entriesByClient.computeIfAbsent(turn.clientKey, k -> {
+                clientByPosition.put(++lastPosition, k);
+                positionByClient.put(k, lastPosition);
                 return new ArrayDeque<>();
             }).addLast(turn);
         }
 
-        Turn ours() {
-            Turn out = ours.next(way.lane);
-            ours.add(way.lane, turn(), 0);
+        AdmissionEntry serveAndRefill() {
+            AdmissionEntry out = scheduler.poll(trafficClass.queue);
+            scheduler.add(trafficClass.queue, newEntry(), 0);
             return out;
         }
 
-        Turn plain() {
-            Map.Entry<Long, Long> first = order.pollFirstEntry();
-            ArrayDeque<Turn> queue = byClient.get(first.getValue());
-            Turn out = queue.pollFirst();
+        AdmissionEntry serveAndRefillMaps() {
+            Map.Entry<Long, Long> first = clientByPosition.pollFirstEntry();
+            ArrayDeque<AdmissionEntry> queue = entriesByClient.get(first.getValue());
+            AdmissionEntry out = queue.pollFirst();
             if (queue.isEmpty()) {
-                byClient.remove(first.getValue());
-                turnOf.remove(first.getValue());
+                entriesByClient.remove(first.getValue());
+                positionByClient.remove(first.getValue());
             } else {
-                order.put(++turns, first.getValue());
+                clientByPosition.put(++lastPosition, first.getValue());
             }
-            plainAdd(turn());
+            addToMaps(newEntry());
             return out;
         }
     }
 
-    @Benchmark public Turn queued(Queued queued) { return queued.ours(); }
+    @Benchmark public AdmissionEntry queued(Queued queued) { return queued.serveAndRefill(); }
 
-    @Benchmark public Turn queuedInMaps(Queued queued) { return queued.plain(); }
+    @Benchmark public AdmissionEntry queuedInMaps(Queued queued) { return queued.serveAndRefillMaps(); }
 }
--- a/lab/src/main/java/reedquay/lab/QueueingDisciplines.java
+++ b/lab/src/main/java/reedquay/lab/QueueingDisciplines.java
@@ -15,7 +15,7 @@
  */
 final class QueueingDisciplines {
     /** A discipline: takes client ids, gives back whose turn it is. */
-    interface Way {
+    interface Discipline {
         /** OK, AWAY where it is turned away, else the client whose last one gives its place up. */
         int add(int client);
 
@@ -26,49 +26,49 @@
         long bytes();
     }
 
-    private static final int OK = -1;
-    private static final int AWAY = -2;
-    private static final int IN_TIME = 100; // steps
-    private static final int MOST = 1000; // that may wait, the same for all
+    private static final int ACCEPTED = -1;
+    private static final int REJECTED = -2;
+    private static final int MAX_WAIT_STEPS = 100; // steps
+    private static final int MAX_WAITING = 1000; // that may wait, the same for all
 
     private QueueingDisciplines() { }
 
-    static Map<String, Way> all(long seed) {
-        Map<String, Way> ways = new java.util.LinkedHashMap<>();
-        ways.put("first come", new Buckets(1, 1, seed, 0));
-        ways.put("round robin by client, only those that wait", new Exact());
-        ways.put("stochastic, 64 queues, seed changes", new Buckets(64, 1, seed, 5000));
-        ways.put("stochastic, 1024 queues, seed changes", new Buckets(1024, 1, seed, 5000));
-        ways.put("stochastic, 1024 queues, one seed", new Buckets(1024, 1, seed, 0));
-        ways.put("shuffled hand of 4 of 128 queues", new Buckets(128, 4, seed, 0));
-        ways.put("start-time tags for each client ever seen", new Tags());
-        ways.put("one queue, Space-Saving of 64 before it", new Heavy(64));
+    static Map<String, Discipline> all(long seed) {
+        Map<String, Discipline> ways = new java.util.LinkedHashMap<>();
+        ways.put("first come", new HashedQueues(1, 1, seed, 0));
+        ways.put("round robin by client, only those that wait", new RoundRobin());
+        ways.put("stochastic, 64 queues, seed changes", new HashedQueues(64, 1, seed, 5000));
+        ways.put("stochastic, 1024 queues, seed changes", new HashedQueues(1024, 1, seed, 5000));
+        ways.put("stochastic, 1024 queues, one seed", new HashedQueues(1024, 1, seed, 0));
+        ways.put("shuffled hand of 4 of 128 queues", new HashedQueues(128, 4, seed, 0));
+        ways.put("start-time tags for each client ever seen", new StartTimeFairQueueing());
+        ways.put("one queue, Space-Saving of 64 before it", new HeavyHitterFilter(64));
         return ways;
     }
 
     /** Queues by hash, served in turn; a hand of more than one takes the shortest. */
-    private static final class Buckets implements Way {
+    private static final class HashedQueues implements Discipline {
         private final List<ArrayDeque<Integer>> queues = new ArrayList<>();
-        private final int hand;
-        private final long change;
+        private final int handSize;
+        private final long reseedInterval;
         private long seed;
-        private long adds;
-        private int turn;
+        private long addCount;
+        private int currentQueue;
         private int waiting;
 
-        Buckets(int count, int hand, long seed, long change) {
-            this.hand = hand;
+        HashedQueues(int count, int hand, long seed, long change) {
+            this.handSize = hand;
             this.seed = seed;
-            this.change = change;
+            this.reseedInterval = change;
             for (int i = 0; i < count; i++) {
                 queues.add(new ArrayDeque<>());
             }
         }
 
-        private ArrayDeque<Integer> of(int client) {
+        private ArrayDeque<Integer> queueOf(int client) {
             ArrayDeque<Integer> best = null;
             SplittableRandom dealt = new SplittableRandom(seed * 31 + client);
-            for (int i = 0; i < hand; i++) {
+            for (int i = 0; i < handSize; i++) {
                 ArrayDeque<Integer> each = queues.get(dealt.nextInt(queues.size()));
                 best = best == null || each.size() < best.size() ? each : best;
             }
@@ -76,21 +76,21 @@
         }
 
         @Override public int add(int client) {
-            if (change > 0 && ++adds % change == 0) {
+            if (reseedInterval > 0 && ++addCount % reseedInterval == 0) {
                 seed++;
                 List<Integer> all = new ArrayList<>();
                 queues.forEach(q -> {
                     all.addAll(q);
                     q.clear();
                 });
-                all.forEach(c -> of(c).addLast(c));
+                all.forEach(c -> queueOf(c).addLast(c));
             }
-            ArrayDeque<Integer> queue = of(client);
-            if (waiting >= MOST) {
+            ArrayDeque<Integer> queue = queueOf(client);
+            if (waiting >= MAX_WAITING) {
                 ArrayDeque<Integer> longest = queues.stream().max(
                         java.util.Comparator.comparingInt(ArrayDeque::size)).get();
                 if (longest == queue || queues.size() == 1) {
-                    return AWAY;
+                    return REJECTED;
                 }
                 int out = longest.pollLast();
                 queue.addLast(client);
@@ -98,44 +98,44 @@
             }
             queue.addLast(client);
             waiting++;
-            return OK;
+            return ACCEPTED;
         }
 
         @Override public int next() {
             for (int i = 0; i < queues.size(); i++) {
-                turn = (turn + 1) % queues.size();
-                if (!queues.get(turn).isEmpty()) {
+                currentQueue = (currentQueue + 1) % queues.size();
+                if (!queues.get(currentQueue).isEmpty()) {
                     waiting--;
-                    return queues.get(turn).pollFirst();
+                    return queues.get(currentQueue).pollFirst();
                 }
             }
             return -1;
         }
 
-        @Override public long bytes() { return queues.size() * 16L + MOST * 8L; }
+        @Override public long bytes() { return queues.size() * 16L + MAX_WAITING * 8L; }
     }
 
     /** Round robin over the clients that wait, whatever their number. */
-    private static final class Exact implements Way {
-        private final Map<Integer, Integer> count = new HashMap<>();
+    private static final class RoundRobin implements Discipline {
+        private final Map<Integer, Integer> waitingByClient = new HashMap<>();
         private final ArrayDeque<Integer> ring = new ArrayDeque<>();
         private int waiting;
 
         @Override public int add(int client) {
-            int out = OK;
-            if (waiting >= MOST) {
+            int out = ACCEPTED;
+            if (waiting >= MAX_WAITING) {
                 int longest = client;
-                for (Map.Entry<Integer, Integer> e : count.entrySet()) {
-                    longest = e.getValue() > count.getOrDefault(longest, 0) ? e.getKey() : longest;
+                for (Map.Entry<Integer, Integer> e : waitingByClient.entrySet()) {
+                    longest = e.getValue() > waitingByClient.getOrDefault(longest, 0) ? e.getKey() : longest;
                 }
-                if (longest == client || count.get(longest) <= count.getOrDefault(client, 0) + 1) {
-                    return AWAY;
+                if (longest == client || waitingByClient.get(longest) <= waitingByClient.getOrDefault(client, 0) + 1) {
+                    return REJECTED;
                 }
-                count.merge(longest, -1, Integer::sum);
+                waitingByClient.merge(longest, -1, Integer::sum);
                 waiting--;
                 out = longest;
             }
-            if (count.merge(client, 1, Integer::sum) == 1) {
+            if (waitingByClient.merge(client, 1, Integer::sum) == 1) {
                 ring.addLast(client);
             }
             waiting++;
@@ -148,35 +148,35 @@
                 return -1;
             }
             waiting--;
-            if (count.merge(client, -1, Integer::sum) > 0) {
+            if (waitingByClient.merge(client, -1, Integer::sum) > 0) {
                 ring.addLast(client);
             } else {
-                count.remove(client);
+                waitingByClient.remove(client);
             }
             return client;
         }
 
-        @Override public long bytes() { return MOST * 108L; }
+        @Override public long bytes() { return MAX_WAITING * 108L; }
     }
 
     /** Start-time fair queueing that remembers each client's last tag. */
-    private static final class Tags implements Way {
+    private static final class StartTimeFairQueueing implements Discipline {
         private record Tag(double start, long order, int client) { }
 
-        private final Map<Integer, Double> finish = new HashMap<>();
+        private final Map<Integer, Double> finishTags = new HashMap<>();
         private final java.util.PriorityQueue<Tag> queue = new java.util.PriorityQueue<>(
                 java.util.Comparator.comparingDouble(Tag::start).thenComparingLong(Tag::order));
-        private double clock;
+        private double virtualTime;
         private long order;
 
         @Override public int add(int client) {
-            if (queue.size() >= MOST) {
-                return AWAY;
+            if (queue.size() >= MAX_WAITING) {
+                return REJECTED;
             }
-            double start = Math.max(clock, finish.getOrDefault(client, 0.0));
-            finish.put(client, start + 1);
+            double start = Math.max(virtualTime, finishTags.getOrDefault(client, 0.0));
+            finishTags.put(client, start + 1);
             queue.add(new Tag(start, order++, client));
-            return OK;
+            return ACCEPTED;
         }
 
         @Override public int next() {
@@ -184,58 +184,58 @@
             if (tag == null) {
                 return -1;
             }
-            clock = tag.start;
+            virtualTime = tag.start;
             return tag.client;
         }
 
-        @Override public long bytes() { return finish.size() * 48L + MOST * 24L; }
+        @Override public long bytes() { return finishTags.size() * 48L + MAX_WAITING * 24L; }
     }
 
     /** First come, first served, but a client counted for more than four times the even part of late is turned away. */
-    private static final class Heavy implements Way {
-        private final int[] key;
-        private final long[] count;
+    private static final class HeavyHitterFilter implements Discipline {
+        private final int[] clients;
+        private final long[] counts;
         private final ArrayDeque<Integer> queue = new ArrayDeque<>();
         private int used;
         private long total;
 
-        Heavy(int most) {
-            key = new int[most];
-            count = new long[most];
+        HeavyHitterFilter(int most) {
+            clients = new int[most];
+            counts = new long[most];
         }
 
-        private long seen(int client) {
+        private long countRequest(int client) {
             int least = 0;
             for (int i = 0; i < used; i++) {
-                if (key[i] == client) {
-                    return ++count[i];
+                if (clients[i] == client) {
+                    return ++counts[i];
                 }
-                least = count[i] < count[least] ? i : least;
+                least = counts[i] < counts[least] ? i : least;
             }
-            int at = used < key.length ? used++ : least;
-            key[at] = client;
-            return ++count[at];
+            int at = used < clients.length ? used++ : least;
+            clients[at] = client;
+            return ++counts[at];
         }
 
         @Override public int add(int client) {
             if (++total % 5000 == 0) {
-                Arrays.setAll(count, i -> count[i] / 2);
+                Arrays.setAll(counts, i -> counts[i] / 2);
             }
-            boolean heavy = seen(client) > 4 * Math.min(total, 10_000) / key.length;
-            if (heavy && queue.size() > MOST / 20 || queue.size() >= MOST) {
-                return AWAY;
+            boolean heavy = countRequest(client) > 4 * Math.min(total, 10_000) / clients.length;
+            if (heavy && queue.size() > MAX_WAITING / 20 || queue.size() >= MAX_WAITING) {
+                return REJECTED;
             }
             queue.addLast(client);
-            return OK;
+            return ACCEPTED;
         }
 
         @Override public int next() { return queue.isEmpty() ? -1 : queue.pollFirst(); }
 
-        @Override public long bytes() { return key.length * 12L + MOST * 8L; }
+        @Override public long bytes() { return clients.length * 12L + MAX_WAITING * 8L; }
     }
 
     /** What is served in time of the requests: of the light clients, of their worst hundredth, of the greedy one. */
-    static String tableRow(String name, Way way, int clients, long seed) {
+    static String tableRow(String name, Discipline way, int clients, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int steps = Math.max(400_000, 2 * clients);
         int[] asked = new int[clients + 1];
@@ -251,7 +251,7 @@
                 int client = light ? 1 + random.nextInt(clients) : 0;
                 asked[client]++;
                 int out = way.add(client);
-                if (out != AWAY) {
+                if (out != REJECTED) {
                     since.computeIfAbsent(client, c -> new ArrayDeque<>()).addLast(i);
                 }
                 if (out >= 0) {
@@ -261,7 +261,7 @@
             int next = way.next();
             if (next >= 0) {
                 ArrayDeque<Integer> of = since.get(next);
-                served[next] += i - of.pollFirst() <= IN_TIME ? 1 : 0;
+                served[next] += i - of.pollFirst() <= MAX_WAIT_STEPS ? 1 : 0;
                 if (of.isEmpty()) {
                     since.remove(next);
                 }
--- a/src/main/java/reedquay/fair/AdmissionController.java
+++ b/src/main/java/reedquay/fair/AdmissionController.java
@@ -32,41 +32,41 @@
  * RPC's way, the state, the inputs, the table's conditions and effects, room, what is shown.
  */
 public final class AdmissionController extends Stage {
-    enum State { NEW, WAITING, INSIDE, LEFT }
+    enum State { NEW, WAITING, ADMITTED, FINISHED }
 
-    enum Input { ARRIVE, NEXT, LATE, CROWDED, ANSWERED, AWAY, GONE }
+    enum Input { ARRIVED, SCHEDULED, EXPIRED, EVICTED, ANSWERED, PUSHED_BACK, TERMINATED }
 
-    private record Row(State state, Input input, BiPredicate<AdmissionController, Turn> when, State next,
-            BiConsumer<AdmissionController, Turn> effect) { }
+    private record Transition(State state, Input input, BiPredicate<AdmissionController, AdmissionEntry> condition, State nextState,
+            BiConsumer<AdmissionController, AdmissionEntry> action) { }
 
-    private static final BiPredicate<AdmissionController, Turn> ALWAYS = (d, t) -> true;
-    private static final BiPredicate<AdmissionController, Turn> ENDED = (d, t) -> t.rpc.ended;
-    private static final BiPredicate<AdmissionController, Turn> UNKNOWN = (d, t) -> t.ways == null;
+    private static final BiPredicate<AdmissionController, AdmissionEntry> ALWAYS = (d, t) -> true;
+    private static final BiPredicate<AdmissionController, AdmissionEntry> RPC_ENDED = (d, t) -> t.rpc.ended;
+    private static final BiPredicate<AdmissionController, AdmissionEntry> NO_TRAFFIC_CLASS = (d, t) -> t.trafficClass == null;
 
     /** The way of an RPC: the first row whose state, input and condition hold is taken. */
-    private static final Row[] TABLE = {
-        new Row(State.NEW, Input.ARRIVE, UNKNOWN, State.INSIDE, AdmissionController::pass), // the Router says what to do
-        new Row(State.NEW, Input.ARRIVE, AdmissionController::roomy, State.INSIDE, AdmissionController::letIn),
-        new Row(State.NEW, Input.ARRIVE, AdmissionController::asTold, State.WAITING, AdmissionController::keep),
-        new Row(State.NEW, Input.ARRIVE, AdmissionController::inTime, State.WAITING, AdmissionController::queue),
-        new Row(State.NEW, Input.ARRIVE, ALWAYS, State.LEFT, AdmissionController::turnAway),
-        new Row(State.WAITING, Input.NEXT, ENDED, State.LEFT, AdmissionController::offWheel), // its client has left
-        new Row(State.WAITING, Input.LATE, ENDED, State.LEFT, AdmissionController::drop),
-        new Row(State.WAITING, Input.CROWDED, ENDED, State.LEFT, AdmissionController::drop),
-        new Row(State.WAITING, Input.NEXT, ALWAYS, State.INSIDE, AdmissionController::letIn),
-        new Row(State.WAITING, Input.LATE, ALWAYS, State.LEFT, AdmissionController::tooLate),
-        new Row(State.WAITING, Input.CROWDED, ALWAYS, State.LEFT, AdmissionController::giveWay),
-        new Row(State.WAITING, Input.GONE, ALWAYS, State.LEFT, AdmissionController::drop),
-        new Row(State.INSIDE, Input.ANSWERED, ALWAYS, State.LEFT, AdmissionController::answered),
-        new Row(State.INSIDE, Input.AWAY, ALWAYS, State.LEFT, AdmissionController::away),
-        new Row(State.INSIDE, Input.GONE, ALWAYS, State.LEFT, AdmissionController::leave),
+    private static final Transition[] TRANSITIONS = {
+        new Transition(State.NEW, Input.ARRIVED, NO_TRAFFIC_CLASS, State.ADMITTED, AdmissionController::forward), // the Router says what to do
+        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canEnterAtOnce, State.ADMITTED, AdmissionController::admit),
+        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canQueueReserved, State.WAITING, AdmissionController::enqueueReserved),
+        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canStartInTime, State.WAITING, AdmissionController::enqueue),
+        new Transition(State.NEW, Input.ARRIVED, ALWAYS, State.FINISHED, AdmissionController::reject),
+        new Transition(State.WAITING, Input.SCHEDULED, RPC_ENDED, State.FINISHED, AdmissionController::removeFromWheel), // its client has left
+        new Transition(State.WAITING, Input.EXPIRED, RPC_ENDED, State.FINISHED, AdmissionController::dequeue),
+        new Transition(State.WAITING, Input.EVICTED, RPC_ENDED, State.FINISHED, AdmissionController::dequeue),
+        new Transition(State.WAITING, Input.SCHEDULED, ALWAYS, State.ADMITTED, AdmissionController::admit),
+        new Transition(State.WAITING, Input.EXPIRED, ALWAYS, State.FINISHED, AdmissionController::expire),
+        new Transition(State.WAITING, Input.EVICTED, ALWAYS, State.FINISHED, AdmissionController::evict),
+        new Transition(State.WAITING, Input.TERMINATED, ALWAYS, State.FINISHED, AdmissionController::dequeue),
+        new Transition(State.ADMITTED, Input.ANSWERED, ALWAYS, State.FINISHED, AdmissionController::recordAnswer),
+        new Transition(State.ADMITTED, Input.PUSHED_BACK, ALWAYS, State.FINISHED, AdmissionController::recordPushback),
+        new Transition(State.ADMITTED, Input.TERMINATED, ALWAYS, State.FINISHED, AdmissionController::release),
     };
 
-    private void step(Turn turn, Input input) {
-        for (Row row : TABLE) {
-            if (row.state == turn.state && row.input == input && row.when.test(this, turn)) {
-                turn.state = row.next;
-                row.effect.accept(this, turn);
+    private void apply(AdmissionEntry entry, Input input) {
+        for (Transition transition : TRANSITIONS) {
+            if (transition.state == entry.state && transition.input == input && transition.condition.test(this, entry)) {
+                entry.state = transition.nextState;
+                transition.action.accept(this, entry);
                 return;
             }
         }
@@ -75,99 +75,99 @@
     // ---- State ----
 
     /** Why one was pushed back here; the order of the counts. */
-    enum Reason { NO_TIME, FULL, LATE, MEMBERS }
+    enum PushbackReason { NO_TIME, FULL, LATE, MEMBERS }
 
     /** What became of a tenant's RPCs. */
-    private static final class Tally {
+    private static final class TenantCounters {
         final String name;
-        final double share; // a second, as the settings have it
-        long in;
+        final double defaultWeight; // a second, as the settings have it
+        long arrived;
         long waited;
-        long letIn;
-        long early;
-        long asTold;
-        long keptInTime;
-        final long[] pushedBack = new long[Reason.values().length];
+        long admitted;
+        long earlyRetries;
+        long redeemed;
+        long redeemedInTime;
+        final long[] pushbacks = new long[PushbackReason.values().length];
 
-        Tally(String name, double share) {
+        TenantCounters(String name, double defaultWeight) {
             this.name = name;
-            this.share = share;
+            this.defaultWeight = defaultWeight;
         }
     }
 
     private static final long NEVER = Long.MAX_VALUE;
-    private static final int HEAVIEST = 64;
+    private static final int HEAVY_HITTER_COUNT = 64;
 
     private final Settings settings;
     private final long tick;
-    private final long brisk; // the shortest soft deadline
-    private final long spokeWidth;
-    private final long longest; // to come back
-    private final Map<String, Integer> tenants = new HashMap<>(); // never walked through
-    private final List<Tally> tallies = new ArrayList<>();
-    private final double[] weight;
-    private final Map<Integer, Ways[]> groups = new HashMap<>(); // reads, writes; never walked through
-    private final List<Ways> all = new ArrayList<>();
-    private final Flows flows;
-    private final Promises promises;
-    private final Heaviest heaviest = new Heaviest(HEAVIEST);
-    private final Map<Method, Latency> costs = new IdentityHashMap<>(); // never walked through
-    private final Turn[] wheel; // by the time at which they can no longer be answered
+    private final long shortestSoftDeadline; // the shortest soft deadline
+    private final long wheelSlotWidth;
+    private final long maxRetryAfter; // to come back
+    private final Map<String, Integer> tenantIndexes = new HashMap<>(); // never walked through
+    private final List<TenantCounters> tenantCounters = new ArrayList<>();
+    private final double[] weights;
+    private final Map<Integer, TrafficClass[]> classesByGroup = new HashMap<>(); // reads, writes; never walked through
+    private final List<TrafficClass> trafficClasses = new ArrayList<>();
+    private final FairScheduler scheduler;
+    private final RetryReservations reservations;
+    private final HeavyHitters heavyHitters = new HeavyHitters(HEAVY_HITTER_COUNT);
+    private final Map<Method, Latency> costsByMethod = new IdentityHashMap<>(); // never walked through
+    private final AdmissionEntry[] timerWheel; // by the time at which they can no longer be answered
     private final CRC32 crc = new CRC32();
-    private final ByteBuffer words = ByteBuffer.allocate(2 * Long.BYTES);
-    private final Hasher64 first;
+    private final ByteBuffer randomInput = ByteBuffer.allocate(2 * Long.BYTES);
+    private final Hasher64 firstHasher;
     private Hasher64 hasher;
-    private Hasher64 before; // that of the seed before, for promises made under it
-    private long seedAt;
-    private long counter;
-    private long taken;
+    private Hasher64 previousHasher; // that of the seed before, for promises made under it
+    private long reseededAt;
+    private long randomCounter;
+    private long arrivals;
     private long now;
-    private long wheelAt;
-    private long routerAt = NEVER;
+    private long wheelPosition;
+    private long routerAlarmAt = NEVER;
     private long alarmAt = NEVER;
     private long halvedAt;
-    private Reason why;
-    private boolean marks; // clients have been seen to mark further tries
-    private boolean freed;
+    private PushbackReason why;
+    private boolean clientsMarkRetries; // clients have been seen to mark further tries
+    private boolean capacityFreed;
 
-    public AdmissionController(Settings settings, AdmissionSettings terms, RoutingActions effects) {
-        super(effects);
+    public AdmissionController(Settings settings, AdmissionSettings admissionSettings, RoutingActions actions) {
+        super(actions);
         this.settings = settings;
         tick = settings.tick();
-        long second = 1_000_000_000;
-        brisk = settings.methods().stream().mapToLong(Method::softDeadline).min().orElse(second);
-        long most = settings.methods().stream().mapToLong(Method::deadline).max().orElse(second);
-        spokeWidth = Math.max(1, brisk / 32);
-        wheel = new Turn[(int) (most / 2 / spokeWidth) + 3];
-        longest = settings.capabilities().retryAfter() ? settings.capabilities().maxRetryAfter() : 0;
-        double least = NEVER;
-        for (Settings.Tenant t : settings.tenants()) {
-            if (tenants.putIfAbsent(t.name(), tallies.size()) == null) {
-                tallies.add(new Tally(t.name(), Math.min(t.quotaPerSecond(), 1e9)));
-                least = Math.min(least, tallies.get(tallies.size() - 1).share);
+        long oneSecond = 1_000_000_000;
+        shortestSoftDeadline = settings.methods().stream().mapToLong(Method::softDeadline).min().orElse(oneSecond);
+        long longestDeadline = settings.methods().stream().mapToLong(Method::deadline).max().orElse(oneSecond);
+        wheelSlotWidth = Math.max(1, shortestSoftDeadline / 32);
+        timerWheel = new AdmissionEntry[(int) (longestDeadline / 2 / wheelSlotWidth) + 3];
+        maxRetryAfter = settings.capabilities().retryAfter() ? settings.capabilities().maxRetryAfter() : 0;
+        double smallestQuota = NEVER;
+        for (Settings.Tenant tenant : settings.tenants()) {
+            if (tenantIndexes.putIfAbsent(tenant.name(), tenantCounters.size()) == null) {
+                tenantCounters.add(new TenantCounters(tenant.name(), Math.min(tenant.quotaPerSecond(), 1e9)));
+                smallestQuota = Math.min(smallestQuota, tenantCounters.get(tenantCounters.size() - 1).defaultWeight);
             }
         }
-        tallies.add(new Tally("others", least == NEVER ? 1 : least)); // whatever their number, they weigh as one
-        weight = new double[tallies.size()];
-        setWeights(terms.tenantWeights());
-        flows = new Flows(terms.maxWaiting(), weight);
-        flows.quantum(brisk / 16);
-        promises = new Promises(Math.max(1, brisk / 8), longest, brisk / 8, terms.maxWaiting());
+        tenantCounters.add(new TenantCounters("others", smallestQuota == NEVER ? 1 : smallestQuota)); // whatever their number, they weigh as one
+        weights = new double[tenantCounters.size()];
+        setWeights(admissionSettings.tenantWeights());
+        scheduler = new FairScheduler(admissionSettings.maxWaiting(), weights);
+        scheduler.setQuantum(shortestSoftDeadline / 16);
+        reservations = new RetryReservations(Math.max(1, shortestSoftDeadline / 8), maxRetryAfter, shortestSoftDeadline / 8, admissionSettings.maxWaiting());
         reseed();
-        before = first = hasher;
+        previousHasher = firstHasher = hasher;
     }
 
     /** Takes on weights while it runs; tenants that are not named weigh what their share is in the settings. */
-    public void setWeights(Map<String, Double> weights) {
-        double[] given = tallies.stream().mapToDouble(t -> weights.getOrDefault(t.name, t.share)).toArray();
-        double least = Arrays.stream(given).min().orElse(1);
-        Arrays.setAll(weight, i -> given[i] / least);
-        all.forEach(w -> flows.reweighed(w.lane));
+    public void setWeights(Map<String, Double> weightByName) {
+        double[] weightByTenant = tenantCounters.stream().mapToDouble(tenant -> weightByName.getOrDefault(tenant.name, tenant.defaultWeight)).toArray();
+        double smallest = Arrays.stream(weightByTenant).min().orElse(1);
+        Arrays.setAll(weights, i -> weightByTenant[i] / smallest);
+        trafficClasses.forEach(trafficClass -> scheduler.weightsChanged(trafficClass.queue));
     }
 
     /** Bytes that it holds from its start on, whatever the number of callers. */
     public long memoryBytes() {
-        return flows.bytes() + promises.bytes() + 8L * wheel.length + HEAVIEST * 40L;
+        return scheduler.memoryBytes() + reservations.memoryBytes() + 8L * timerWheel.length + HEAVY_HITTER_COUNT * 40L;
     }
 
     // ---- Inputs ----
@@ -175,336 +175,336 @@
     @Override public void beginBatch(long time) {
         now = time;
         alarmAt = now + tick >= alarmAt ? NEVER : alarmAt; // by a coarser clock it rings early
-        routerAt = now >= routerAt ? NEVER : routerAt;
+        routerAlarmAt = now >= routerAlarmAt ? NEVER : routerAlarmAt;
         next.beginBatch(now);
-        for (int i = 0; i < all.size(); i++) {
-            Ways w = all.get(i);
-            w.turn(now);
-            if (w.room.pressed() && w.lane.length() == 0 && w.lane.kept.isEmpty()
-                    && w.room.inside() < w.room.limit() / 2 && now - 4 * brisk >= w.busyAt) {
-                w.room.tell(Room.Input.QUIET, now, brisk);
+        for (int i = 0; i < trafficClasses.size(); i++) {
+            TrafficClass trafficClass = trafficClasses.get(i);
+            trafficClass.closeWindow(now);
+            if (trafficClass.concurrencyLimit.overloaded() && trafficClass.queue.length() == 0 && trafficClass.queue.reserved.isEmpty()
+                    && trafficClass.concurrencyLimit.inFlight() < trafficClass.concurrencyLimit.current() / 2 && now - 4 * shortestSoftDeadline >= trafficClass.lastQueuedAt) {
+                trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.IDLE, now, shortestSoftDeadline);
             }
         }
-        if (now - 64 * brisk >= seedAt) {
+        if (now - 64 * shortestSoftDeadline >= reseededAt) {
             reseed();
         }
-        if (now - 16 * brisk >= halvedAt) {
+        if (now - 16 * shortestSoftDeadline >= halvedAt) {
             halvedAt = now;
-            heaviest.halve();
+            heavyHitters.halve();
         }
-        if (flows.waiting() > 0) {
-            turnWheel();
+        if (scheduler.waiting() > 0) {
+            advanceWheel();
         }
     }
 
     @Override public void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) {
         for (ListedMember entry : entries) {
-            groups.computeIfAbsent(entry.group(), g -> new Ways[] {way(), way()});
+            classesByGroup.computeIfAbsent(entry.group(), g -> new TrafficClass[] {newTrafficClass(), newTrafficClass()});
         }
         next.membersListed(kind, entries);
     }
 
-    private Ways way() {
-        Flows.Lane lane = flows.lane();
-        Ways made = new Ways(lane, promises.new Calendar(lane.index), brisk / 16, brisk / 2);
-        all.add(made);
-        return made;
+    private TrafficClass newTrafficClass() {
+        FairScheduler.Queue queue = scheduler.newQueue();
+        TrafficClass trafficClass = new TrafficClass(queue, reservations.new Schedule(queue.index), shortestSoftDeadline / 16, shortestSoftDeadline / 2);
+        trafficClasses.add(trafficClass);
+        return trafficClass;
     }
 
     @Override public void rpcArrived(Rpc rpc) {
-        Ways[] ways = rpc.method == null ? null : groups.get(rpc.group);
-        Turn turn = new Turn(rpc, ways == null ? null : ways[read(rpc.method) ? 0 : 1], tenant(rpc), now);
-        rpc.filterState = turn;
-        turn.sampled = (++taken & 3) == 0;
-        tallies.get(turn.tenant).in++;
-        step(turn, Input.ARRIVE);
+        TrafficClass[] classes = rpc.method == null ? null : classesByGroup.get(rpc.group);
+        AdmissionEntry entry = new AdmissionEntry(rpc, classes == null ? null : classes[isRead(rpc.method) ? 0 : 1], tenantIndex(rpc), now);
+        rpc.filterState = entry;
+        entry.sampled = (++arrivals & 3) == 0;
+        tenantCounters.get(entry.tenant).arrived++;
+        apply(entry, Input.ARRIVED);
     }
 
-    private int tenant(Rpc rpc) {
-        Integer known = rpc.tenant == null ? null : tenants.get(rpc.tenant);
-        return known == null ? tallies.size() - 1 : known;
+    private int tenantIndex(Rpc rpc) {
+        Integer index = rpc.tenant == null ? null : tenantIndexes.get(rpc.tenant);
+        return index == null ? tenantCounters.size() - 1 : index;
     }
 
     /**
      * Whether its being held or turned away shows a want of room: a write, or a read that any replica may serve now.
      * What waits for data to be recent enough waits for something else.
      */
-    private static boolean plain(Rpc rpc) {
-        Method.Consistency need = rpc.method.consistency();
-        return need != Method.Consistency.BOUNDED && (need != Method.Consistency.SESSION || rpc.sessionTokenAge == 0);
+    private static boolean limitedByCapacityOnly(Rpc rpc) {
+        Method.Consistency consistency = rpc.method.consistency();
+        return consistency != Method.Consistency.BOUNDED && (consistency != Method.Consistency.SESSION || rpc.sessionTokenAge == 0);
     }
 
     /** Without pressure one in four is measured: it costs more than all else that is done for an RPC then. */
-    private static boolean sampled(Turn turn) {
-        return turn.ways == null || turn.ways.room.pressed() || turn.sampled;
+    private static boolean isMeasured(AdmissionEntry entry) {
+        return entry.trafficClass == null || entry.trafficClass.concurrencyLimit.overloaded() || entry.sampled;
     }
 
-    private static boolean read(Method m) {
-        return m.consistency() != Method.Consistency.WRITE && m.consistency() != Method.Consistency.FRESH;
+    private static boolean isRead(Method method) {
+        return method.consistency() != Method.Consistency.WRITE && method.consistency() != Method.Consistency.FRESH;
     }
 
-    @Override public void callOutEnded(CallOut call, Outcome outcome, long took, boolean ended, long position, Role role,
+    @Override public void callOutEnded(CallOut callOut, Outcome outcome, long took, boolean ended, long position, Role role,
             LoadReport report) {
-        Turn turn = (Turn) call.rpc.filterState;
-        if (outcome == Outcome.OK && sampled(turn)) {
-            cost(call.rpc.method).add(took);
+        AdmissionEntry entry = (AdmissionEntry) callOut.rpc.filterState;
+        if (outcome == Outcome.OK && isMeasured(entry)) {
+            costsOf(callOut.rpc.method).add(took);
         }
-        if (outcome == Outcome.FULL && turn.ways != null) {
-            turn.ways.room.tell(Room.Input.AWAY, now, usual(turn.ways));
+        if (outcome == Outcome.FULL && entry.trafficClass != null) {
+            entry.trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.REJECTED, now, meanServiceTime(entry.trafficClass));
         }
         if (ended && outcome == Outcome.OK) {
-            step(turn, Input.ANSWERED);
+            apply(entry, Input.ANSWERED);
         }
-        next.callOutEnded(call, outcome, took, ended, position, role, report);
+        next.callOutEnded(callOut, outcome, took, ended, position, role, report);
     }
 
-    @Override public void sendCallOut(CallOut call, long limit) {
-        Turn turn = (Turn) call.rpc.filterState;
-        if (!turn.sent && turn.ways != null && plain(call.rpc)) {
-            turn.held = now > turn.inside;
-            boolean answers = now - brisk <= turn.ways.okAt; // else it is gone or unknown, and not full
-            if (answers && (turn.held || turn.ways.room.pressed())) {
-                turn.ways.hold.add((long) ((double) (now - turn.inside) * brisk / call.rpc.method.softDeadline()));
+    @Override public void sendCallOut(CallOut callOut, long limit) {
+        AdmissionEntry entry = (AdmissionEntry) callOut.rpc.filterState;
+        if (!entry.calledOut && entry.trafficClass != null && limitedByCapacityOnly(callOut.rpc)) {
+            entry.heldByRouter = now > entry.admittedAt;
+            boolean groupAnswers = now - shortestSoftDeadline <= entry.trafficClass.lastOkAt; // else it is gone or unknown, and not full
+            if (groupAnswers && (entry.heldByRouter || entry.trafficClass.concurrencyLimit.overloaded())) {
+                entry.trafficClass.holdTimes.add((long) ((double) (now - entry.admittedAt) * shortestSoftDeadline / callOut.rpc.method.softDeadline()));
             }
         }
-        turn.sent = true;
-        actions.sendCallOut(call, limit);
+        entry.calledOut = true;
+        actions.sendCallOut(callOut, limit);
     }
 
     @Override public void clientGone(Rpc rpc) {
-        Turn turn = (Turn) rpc.filterState;
-        step(turn, Input.GONE);
-        if (turn.seen) { // the Router knows of no other
+        AdmissionEntry entry = (AdmissionEntry) rpc.filterState;
+        apply(entry, Input.TERMINATED);
+        if (entry.forwarded) { // the Router knows of no other
             next.clientGone(rpc);
         }
     }
 
     @Override public String explain(Rpc rpc) {
-        return ((Turn) rpc.filterState).seen ? next.explain(rpc) : "at the door, " + why;
+        return ((AdmissionEntry) rpc.filterState).forwarded ? next.explain(rpc) : "at the door, " + why;
     }
 
     @Override public void deadlineShortened(Rpc rpc) {
-        Turn turn = (Turn) rpc.filterState;
-        if (turn.state == State.WAITING) { // guards what waits against a stop that comes before its turn
-            offWheel(turn);
-            turn.until = Math.min(turn.until, turn.arrived + (rpc.deadline - turn.arrived) / 2 - spokeWidth);
-            onWheel(turn);
-        } else if (turn.seen) {
+        AdmissionEntry entry = (AdmissionEntry) rpc.filterState;
+        if (entry.state == State.WAITING) { // guards what waits against a stop that comes before its turn
+            removeFromWheel(entry);
+            entry.expiresAt = Math.min(entry.expiresAt, entry.arrivedAt + (rpc.deadline - entry.arrivedAt) / 2 - wheelSlotWidth);
+            addToWheel(entry);
+        } else if (entry.forwarded) {
             next.deadlineShortened(rpc);
         }
     }
 
     @Override public void pushBack(Rpc rpc, long after) {
-        why = Reason.MEMBERS;
-        Turn turn = (Turn) rpc.filterState;
-        tallies.get(turn.tenant).pushedBack[Reason.MEMBERS.ordinal()]++;
-        step(turn, Input.AWAY);
-        actions.pushBack(rpc, turn.ways == null ? after : members(turn, after));
+        why = PushbackReason.MEMBERS;
+        AdmissionEntry entry = (AdmissionEntry) rpc.filterState;
+        tenantCounters.get(entry.tenant).pushbacks[PushbackReason.MEMBERS.ordinal()]++;
+        apply(entry, Input.PUSHED_BACK);
+        actions.pushBack(rpc, entry.trafficClass == null ? after : retryAfterRouterPushback(entry, after));
     }
 
     @Override public void abort(Rpc rpc) {
-        step((Turn) rpc.filterState, Input.GONE);
+        apply((AdmissionEntry) rpc.filterState, Input.TERMINATED);
         actions.abort(rpc);
     }
 
     @Override public void endBatch() {
         do {
-            freed = false;
-            for (int i = 0; i < all.size() && flows.waiting() > 0; i++) {
-                Ways w = all.get(i);
-                while (w.room.has()) {
-                    Turn next = flows.next(w.lane);
-                    if (next == null) {
+            capacityFreed = false;
+            for (int i = 0; i < trafficClasses.size() && scheduler.waiting() > 0; i++) {
+                TrafficClass trafficClass = trafficClasses.get(i);
+                while (trafficClass.concurrencyLimit.hasCapacity()) {
+                    AdmissionEntry entry = scheduler.poll(trafficClass.queue);
+                    if (entry == null) {
                         break;
                     }
-                    step(next, Input.NEXT);
+                    apply(entry, Input.SCHEDULED);
                 }
             }
             next.endBatch();
-        } while (freed && flows.waiting() > 0);
-        long at = flows.waiting() > 0 ? Math.min(now + spokeWidth, routerAt) : routerAt;
-        if (at < alarmAt) {
-            alarmAt = at;
-            actions.scheduleWakeUp(Math.max(tick, at - now));
+        } while (capacityFreed && scheduler.waiting() > 0);
+        long wakeAt = scheduler.waiting() > 0 ? Math.min(now + wheelSlotWidth, routerAlarmAt) : routerAlarmAt;
+        if (wakeAt < alarmAt) {
+            alarmAt = wakeAt;
+            actions.scheduleWakeUp(Math.max(tick, wakeAt - now));
         }
     }
 
     @Override public void scheduleWakeUp(long delay) {
-        routerAt = Math.min(routerAt, now + delay);
+        routerAlarmAt = Math.min(routerAlarmAt, now + delay);
     }
 
     // ---- Conditions and effects of the table ----
 
     /** Nobody waits there and there is room: all that is asked without pressure. */
-    private boolean roomy(Turn turn) {
-        if (!turn.ways.room.has()) {
-            turn.ways.room.tell(Room.Input.BURST, now, usual(turn.ways));
+    private boolean canEnterAtOnce(AdmissionEntry entry) {
+        if (!entry.trafficClass.concurrencyLimit.hasCapacity()) {
+            entry.trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.BURST, now, meanServiceTime(entry.trafficClass));
         }
-        boolean roomy = turn.ways.room.has() && turn.lane.length() == 0 && turn.lane.kept.isEmpty();
-        turn.kept = (turn.ways.room.pressed() || promises.live(now)) && told(turn);
-        return roomy;
+        boolean canEnter = entry.trafficClass.concurrencyLimit.hasCapacity() && entry.queue.length() == 0 && entry.queue.reserved.isEmpty();
+        entry.reserved = (entry.trafficClass.concurrencyLimit.overloaded() || reservations.mayHaveOutstanding(now)) && redeemReservation(entry);
+        return canEnter;
     }
 
-    private boolean asTold(Turn turn) {
-        turn.kept = turn.kept && now + spokeWidth <= turn.until && makePlace(turn);
-        return turn.kept;
+    private boolean canQueueReserved(AdmissionEntry entry) {
+        entry.reserved = entry.reserved && now + wheelSlotWidth <= entry.expiresAt && ensurePlace(entry);
+        return entry.reserved;
     }
 
     /** Whether the client comes when it was told to; asked once, since a promise is kept once. */
-    private boolean told(Turn turn) {
-        prepare(turn);
-        Promises.Calendar calendar = turn.ways.calendar;
-        marks |= turn.rpc.retry;
+    private boolean redeemReservation(AdmissionEntry entry) {
+        estimate(entry);
+        RetryReservations.Schedule schedule = entry.trafficClass.schedule;
+        clientsMarkRetries |= entry.rpc.retry;
         // where further tries are marked, one that is not can't be the one that was told
-        boolean may = turn.rpc.retry || !marks;
-        boolean told = may && (calendar.redeem(turn.key, now)
-                || before != hasher && calendar.redeem(key(before, turn.rpc), now));
-        if (told) {
-            tallies.get(turn.tenant).asTold++;
-        } else if (calendar.early(turn.key, now)) {
-            tallies.get(turn.tenant).early++; // it keeps its promise and is one more of its client's
+        boolean eligible = entry.rpc.retry || !clientsMarkRetries;
+        boolean redeemed = eligible && (schedule.redeem(entry.clientKey, now)
+                || previousHasher != hasher && schedule.redeem(clientKey(previousHasher, entry.rpc), now));
+        if (redeemed) {
+            tenantCounters.get(entry.tenant).redeemed++;
+        } else if (schedule.isEarly(entry.clientKey, now)) {
+            tenantCounters.get(entry.tenant).earlyRetries++; // it keeps its promise and is one more of its client's
         }
-        return told;
+        return redeemed;
     }
 
-    private boolean inTime(Turn turn) {
-        why = Reason.NO_TIME;
-        return now + Math.max(expected(turn), spokeWidth) <= turn.until && makePlace(turn);
+    private boolean canStartInTime(AdmissionEntry entry) {
+        why = PushbackReason.NO_TIME;
+        return now + Math.max(expectedWait(entry), wheelSlotWidth) <= entry.expiresAt && ensurePlace(entry);
     }
 
     /** Who it is, what it costs, until when it can wait: asked only under pressure. */
-    private void prepare(Turn turn) {
-        Method m = turn.rpc.method;
-        turn.key = key(hasher, turn.rpc);
-        turn.cost = Math.max(1, cost(m).quantile(0.25, brisk / 16));
-        turn.worth = m.utility() / turn.cost;
-        long half = (turn.rpc.deadline - turn.arrived) / 2 - spokeWidth;
-        long soft = m.lateUtilityShare() > 0 ? half : m.softDeadline() - usual(turn.ways);
-        turn.until = turn.arrived + Math.min(soft, half);
-        heaviest.add(known(turn.rpc), turn.rpc, turn.cost);
+    private void estimate(AdmissionEntry entry) {
+        Method method = entry.rpc.method;
+        entry.clientKey = clientKey(hasher, entry.rpc);
+        entry.cost = Math.max(1, costsOf(method).quantile(0.25, shortestSoftDeadline / 16));
+        entry.utilityPerWork = method.utility() / entry.cost;
+        long halfTimeLeft = (entry.rpc.deadline - entry.arrivedAt) / 2 - wheelSlotWidth;
+        long queueTimeLimit = method.lateUtilityShare() > 0 ? halfTimeLeft : method.softDeadline() - meanServiceTime(entry.trafficClass);
+        entry.expiresAt = entry.arrivedAt + Math.min(queueTimeLimit, halfTimeLeft);
+        heavyHitters.addWork(stableKey(entry.rpc), entry.rpc, entry.cost);
     }
 
     /** A key that stays the same under all seeds, to count by. */
-    private long known(Rpc rpc) { return key(first, rpc) + tenant(rpc); }
+    private long stableKey(Rpc rpc) { return clientKey(firstHasher, rpc) + tenantIndex(rpc); }
 
     /** How long it would wait: its own client's turns, or all that is before it where that is less. */
-    private long expected(Turn turn) {
-        Ways w = turn.ways;
-        Flows.Lane lane = turn.lane;
-        double rate = w.workRate(usual(w), turn.cost);
-        double part = lane.part(turn.tenant, weight[turn.tenant]);
-        long mine = flows.queued(lane, turn.tenant, turn.key);
-        int others = lane.flows(turn.tenant) + (mine == 0 ? 1 : 0);
-        double own = (double) (mine + turn.cost) * others / part; // each of its turns is one of all the others'
-        double pace = flows.pace(lane, turn.tenant, turn.key, now, brisk / 4);
-        double seen = pace > 0 ? (mine + turn.cost) / pace * 1e9 : 0; // what others leave is less than its turns
-        return (long) Math.max(seen, Math.min(own, lane.queued()) / rate * 1e9);
+    private long expectedWait(AdmissionEntry entry) {
+        TrafficClass trafficClass = entry.trafficClass;
+        FairScheduler.Queue queue = entry.queue;
+        double workRate = trafficClass.workRate(meanServiceTime(trafficClass), entry.cost);
+        double share = queue.share(entry.tenant, weights[entry.tenant]);
+        long clientWork = scheduler.queuedWork(queue, entry.tenant, entry.clientKey);
+        int tenantFlows = queue.flowCount(entry.tenant) + (clientWork == 0 ? 1 : 0);
+        double workAhead = (double) (clientWork + entry.cost) * tenantFlows / share; // each of its turns is one of all the others'
+        double servedRate = scheduler.servedRate(queue, entry.tenant, entry.clientKey, now, shortestSoftDeadline / 4);
+        double observedWait = servedRate > 0 ? (clientWork + entry.cost) / servedRate * 1e9 : 0; // what others leave is less than its turns
+        return (long) Math.max(observedWait, Math.min(workAhead, queue.queuedWork()) / workRate * 1e9);
     }
 
     /** Where all places are taken, one of the longest flow met gives its own up, unless this one's is as long. */
-    private boolean makePlace(Turn turn) {
-        if (!flows.full()) {
+    private boolean ensurePlace(AdmissionEntry entry) {
+        if (!scheduler.full()) {
             return true;
         }
-        why = Reason.FULL;
-        Turn last = flows.victim(chance());
-        if (last == null || last.lane == turn.lane && last.key == turn.key && last.tenant == turn.tenant
-                || length(last) <= flows.length(turn.lane, turn.tenant, turn.key) + 1) {
+        why = PushbackReason.FULL;
+        AdmissionEntry candidate = scheduler.evictionCandidate(nextRandom());
+        if (candidate == null || candidate.queue == entry.queue && candidate.clientKey == entry.clientKey && candidate.tenant == entry.tenant
+                || flowLength(candidate) <= scheduler.flowLength(entry.queue, entry.tenant, entry.clientKey) + 1) {
             return false;
         }
-        step(last, Input.CROWDED);
+        apply(candidate, Input.EVICTED);
         return true;
     }
 
-    private int length(Turn turn) {
-        return flows.length(turn.lane, turn.tenant, turn.key);
+    private int flowLength(AdmissionEntry entry) {
+        return scheduler.flowLength(entry.queue, entry.tenant, entry.clientKey);
     }
 
-    private void keep(Turn turn) { queue(turn); }
+    private void enqueueReserved(AdmissionEntry entry) { enqueue(entry); }
 
-    private void queue(Turn turn) {
-        turn.ways.held();
-        turn.ways.busyAt = now;
-        tallies.get(turn.tenant).waited++;
-        flows.add(turn.lane, turn, now);
-        if (flows.waiting() == 1) {
-            wheelAt = now / spokeWidth; // it has not turned while nobody waited
+    private void enqueue(AdmissionEntry entry) {
+        entry.trafficClass.markSaturated();
+        entry.trafficClass.lastQueuedAt = now;
+        tenantCounters.get(entry.tenant).waited++;
+        scheduler.add(entry.queue, entry, now);
+        if (scheduler.waiting() == 1) {
+            wheelPosition = now / wheelSlotWidth; // it has not turned while nobody waited
         }
-        onWheel(turn);
+        addToWheel(entry);
     }
 
-    private void pass(Turn turn) {
-        turn.inside = now;
-        turn.seen = true;
-        next.rpcArrived(turn.rpc);
+    private void forward(AdmissionEntry entry) {
+        entry.admittedAt = now;
+        entry.forwarded = true;
+        next.rpcArrived(entry.rpc);
     }
 
-    private void letIn(Turn turn) {
-        offWheel(turn);
-        tallies.get(turn.tenant).letIn++;
-        turn.ways.room.in();
-        turn.rpc.retry &= !turn.kept; // what was told to come is no stray retry
-        pass(turn);
+    private void admit(AdmissionEntry entry) {
+        removeFromWheel(entry);
+        tenantCounters.get(entry.tenant).admitted++;
+        entry.trafficClass.concurrencyLimit.acquire();
+        entry.rpc.retry &= !entry.reserved; // what was told to come is no stray retry
+        forward(entry);
     }
 
-    private void turnAway(Turn turn) {
-        tallies.get(turn.tenant).pushedBack[why.ordinal()]++;
-        turn.ways.held();
-        turn.ways.busyAt = now;
-        heaviest.pushedBack(known(turn.rpc));
-        actions.pushBack(turn.rpc, comeBack(turn));
+    private void reject(AdmissionEntry entry) {
+        tenantCounters.get(entry.tenant).pushbacks[why.ordinal()]++;
+        entry.trafficClass.markSaturated();
+        entry.trafficClass.lastQueuedAt = now;
+        heavyHitters.recordPushback(stableKey(entry.rpc));
+        actions.pushBack(entry.rpc, reserveRetryAfter(entry));
     }
 
     /** It can no longer be answered in time. */
-    private void tooLate(Turn turn) {
-        why = Reason.LATE;
-        drop(turn);
-        turnAway(turn);
+    private void expire(AdmissionEntry entry) {
+        why = PushbackReason.LATE;
+        dequeue(entry);
+        reject(entry);
     }
 
     /** Another needs its place more. */
-    private void giveWay(Turn turn) {
-        why = Reason.FULL;
-        drop(turn);
-        turnAway(turn);
+    private void evict(AdmissionEntry entry) {
+        why = PushbackReason.FULL;
+        dequeue(entry);
+        reject(entry);
     }
 
-    private void drop(Turn turn) {
-        offWheel(turn);
-        flows.remove(turn);
+    private void dequeue(AdmissionEntry entry) {
+        removeFromWheel(entry);
+        scheduler.remove(entry);
     }
 
-    private void leave(Turn turn) {
-        if (turn.ways != null) {
-            turn.ways.room.out();
-            freed = true;
+    private void release(AdmissionEntry entry) {
+        if (entry.trafficClass != null) {
+            entry.trafficClass.concurrencyLimit.release();
+            capacityFreed = true;
         }
     }
 
-    private void answered(Turn turn) {
-        leave(turn);
-        Ways w = turn.ways;
-        if (w == null) {
+    private void recordAnswer(AdmissionEntry entry) {
+        release(entry);
+        TrafficClass trafficClass = entry.trafficClass;
+        if (trafficClass == null) {
             return;
         }
-        long took = now - turn.inside;
-        Method m = turn.rpc.method;
-        if (sampled(turn)) {
-            w.took.add(took);
+        long serviceTime = now - entry.admittedAt;
+        Method method = entry.rpc.method;
+        if (isMeasured(entry)) {
+            trafficClass.serviceTimes.add(serviceTime);
         }
-        w.okAt = now;
-        if (turn.kept && now - turn.arrived <= m.softDeadline()) {
-            tallies.get(turn.tenant).keptInTime++;
+        trafficClass.lastOkAt = now;
+        if (entry.reserved && now - entry.arrivedAt <= method.softDeadline()) {
+            tenantCounters.get(entry.tenant).redeemedInTime++;
         }
-        if (!w.room.pressed() && !turn.held) {
+        if (!trafficClass.concurrencyLimit.overloaded() && !entry.heldByRouter) {
             return; // without pressure there is nothing to learn
         }
-        w.served(cost(m).quantile(0.25, brisk / 16));
-        long hold = w.hold.mean(0);
-        if (hold > brisk / 32) {
-            w.room.tell(Room.Input.SLOW, now, usual(w));
-        } else if (hold <= brisk / 64) {
-            w.room.tell(Room.Input.WELL, now, usual(w));
+        trafficClass.recordServed(costsOf(method).quantile(0.25, shortestSoftDeadline / 16));
+        long meanHoldTime = trafficClass.holdTimes.mean(0);
+        if (meanHoldTime > shortestSoftDeadline / 32) {
+            trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.SLOW_ANSWER, now, meanServiceTime(trafficClass));
+        } else if (meanHoldTime <= shortestSoftDeadline / 64) {
+            trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.FAST_ANSWER, now, meanServiceTime(trafficClass));
         }
     }
 
@@ -512,51 +512,51 @@
      * Turned away inside: for want of room, as far as can be seen from here, where its data may be of any age and
      * answers come. What lags or has no primary is no matter of room.
      */
-    private void away(Turn turn) {
-        leave(turn);
-        Ways w = turn.ways;
-        if (w == null) {
+    private void recordPushback(AdmissionEntry entry) {
+        release(entry);
+        TrafficClass trafficClass = entry.trafficClass;
+        if (trafficClass == null) {
             return;
         }
-        w.held();
-        if (plain(turn.rpc) && now - brisk <= w.okAt) {
-            w.room.tell(Room.Input.AWAY, now, Math.max(usual(w), brisk / 4)); // so long it holds what was let in
+        trafficClass.markSaturated();
+        if (limitedByCapacityOnly(entry.rpc) && now - shortestSoftDeadline <= trafficClass.lastOkAt) {
+            trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.REJECTED, now, Math.max(meanServiceTime(trafficClass), shortestSoftDeadline / 4)); // so long it holds what was let in
         }
     }
 
     // ---- Times, costs, clients ----
 
     /** What one that the Router turned away is told: its time while there is no pressure, else the calendar's. */
-    private long members(Turn turn, long after) {
-        if (turn.ways.room.pressed()) {
-            return comeBack(turn);
+    private long retryAfterRouterPushback(AdmissionEntry entry, long after) {
+        if (entry.trafficClass.concurrencyLimit.overloaded()) {
+            return reserveRetryAfter(entry);
         }
-        return after <= 0 ? after : turn.ways.calendar.note(key(hasher, turn.rpc), now, after);
+        return after <= 0 ? after : entry.trafficClass.schedule.record(clientKey(hasher, entry.rpc), now, after);
     }
 
     /** When the client is to come: when what it has waiting will have gone far enough for one more to be in time. */
-    private long comeBack(Turn turn) {
-        if (longest <= 0 || turn.ways == null) {
+    private long reserveRetryAfter(AdmissionEntry entry) {
+        if (maxRetryAfter <= 0 || entry.trafficClass == null) {
             return 0;
         }
-        if (turn.cost == 0) {
-            prepare(turn);
+        if (entry.cost == 0) {
+            estimate(entry);
         }
-        Ways w = turn.ways;
-        long room = turn.rpc.method.softDeadline() / 2;
-        long wait = Math.max(0, expected(turn) - room);
-        return w.calendar.tell(turn.key, now, wait, w.rate(usual(w)) / 2);
+        TrafficClass trafficClass = entry.trafficClass;
+        long allowedWait = entry.rpc.method.softDeadline() / 2;
+        long delay = Math.max(0, expectedWait(entry) - allowedWait);
+        return trafficClass.schedule.reserve(entry.clientKey, now, delay, trafficClass.rpcRate(meanServiceTime(trafficClass)) / 2);
     }
 
-    private long usual(Ways w) { return w.took.mean(brisk / 4); }
+    private long meanServiceTime(TrafficClass trafficClass) { return trafficClass.serviceTimes.mean(shortestSoftDeadline / 4); }
 
-    private Latency cost(Method m) {
-        return costs.computeIfAbsent(m, x -> new Latency(Math.max(1, brisk / 256)));
+    private Latency costsOf(Method method) {
+        return costsByMethod.computeIfAbsent(method, x -> new Latency(Math.max(1, shortestSoftDeadline / 256)));
     }
 
-    private long key(Hasher64 by, Rpc rpc) {
-        String who = rpc.clientId != null ? rpc.clientId : rpc.tenant;
-        return who == null ? 0 : by.hashCharsToLong(who);
+    private long clientKey(Hasher64 seededHasher, Rpc rpc) {
+        String identity = rpc.clientId != null ? rpc.clientId : rpc.tenant;
+        return identity == null ? 0 : seededHasher.hashCharsToLong(identity);
     }
 
     /**
@@ -564,117 +564,117 @@
      * against one that found out how to. What waits moves to its new key in its order.
      */
     private void reseed() {
-        seedAt = now;
-        before = hasher;
-        hasher = Hashing.komihash5_0(chance() << 32 | chance());
-        if (flows.waiting() == 0) {
+        reseededAt = now;
+        previousHasher = hasher;
+        hasher = Hashing.komihash5_0(nextRandom() << 32 | nextRandom());
+        if (scheduler.waiting() == 0) {
             return;
         }
-        List<Turn> waiting = new ArrayList<>();
-        for (Turn spoke : wheel) {
-            for (Turn t = spoke; t != null; t = t.later) {
-                waiting.add(t);
+        List<AdmissionEntry> waiting = new ArrayList<>();
+        for (AdmissionEntry slotHead : timerWheel) {
+            for (AdmissionEntry entry = slotHead; entry != null; entry = entry.wheelNext) {
+                waiting.add(entry);
             }
         }
-        waiting.sort(java.util.Comparator.comparingLong((Turn t) -> t.arrived).thenComparingInt(t -> t.place));
-        waiting.forEach(flows::remove);
-        for (Turn t : waiting) {
-            t.key = key(hasher, t.rpc);
-            flows.add(t.lane, t, now);
+        waiting.sort(java.util.Comparator.comparingLong((AdmissionEntry entry) -> entry.arrivedAt).thenComparingInt(entry -> entry.entryIndex));
+        waiting.forEach(scheduler::remove);
+        for (AdmissionEntry entry : waiting) {
+            entry.clientKey = clientKey(hasher, entry.rpc);
+            scheduler.add(entry.queue, entry, now);
         }
     }
 
-    private long chance() {
+    private long nextRandom() {
         crc.reset();
-        crc.update(words.putLong(0, settings.seed()).putLong(8, counter++).rewind());
+        crc.update(randomInput.putLong(0, settings.seed()).putLong(8, randomCounter++).rewind());
         return crc.getValue();
     }
 
     // ---- The wheel: each waits until its moment, told within one spoke ----
 
-    private void onWheel(Turn turn) {
-        long spokes = Math.max(1, Math.min(wheel.length - 1, (turn.until - now) / spokeWidth));
-        turn.spoke = (int) ((now / spokeWidth + spokes) % wheel.length);
-        turn.later = wheel[turn.spoke];
-        if (turn.later != null) {
-            turn.later.sooner = turn;
+    private void addToWheel(AdmissionEntry entry) {
+        long slotsAhead = Math.max(1, Math.min(timerWheel.length - 1, (entry.expiresAt - now) / wheelSlotWidth));
+        entry.wheelSlot = (int) ((now / wheelSlotWidth + slotsAhead) % timerWheel.length);
+        entry.wheelNext = timerWheel[entry.wheelSlot];
+        if (entry.wheelNext != null) {
+            entry.wheelNext.wheelPrevious = entry;
         }
-        wheel[turn.spoke] = turn;
+        timerWheel[entry.wheelSlot] = entry;
     }
 
-    private void offWheel(Turn turn) {
-        if (turn.spoke < 0) {
+    private void removeFromWheel(AdmissionEntry entry) {
+        if (entry.wheelSlot < 0) {
             return;
         }
-        if (turn.sooner == null) {
-            wheel[turn.spoke] = turn.later;
+        if (entry.wheelPrevious == null) {
+            timerWheel[entry.wheelSlot] = entry.wheelNext;
         } else {
-            turn.sooner.later = turn.later;
+            entry.wheelPrevious.wheelNext = entry.wheelNext;
         }
-        if (turn.later != null) {
-            turn.later.sooner = turn.sooner;
+        if (entry.wheelNext != null) {
+            entry.wheelNext.wheelPrevious = entry.wheelPrevious;
         }
-        turn.later = turn.sooner = null;
-        turn.spoke = -1;
+        entry.wheelNext = entry.wheelPrevious = null;
+        entry.wheelSlot = -1;
     }
 
-    private void turnWheel() {
-        long here = now / spokeWidth;
-        long from = Math.max(wheelAt + 1, here - wheel.length + 1);
-        for (long s = from; s <= here && flows.waiting() > 0; s++) {
-            while (wheel[(int) (s % wheel.length)] != null) {
-                step(wheel[(int) (s % wheel.length)], Input.LATE);
+    private void advanceWheel() {
+        long currentSlot = now / wheelSlotWidth;
+        long firstSlot = Math.max(wheelPosition + 1, currentSlot - timerWheel.length + 1);
+        for (long slot = firstSlot; slot <= currentSlot && scheduler.waiting() > 0; slot++) {
+            while (timerWheel[(int) (slot % timerWheel.length)] != null) {
+                apply(timerWheel[(int) (slot % timerWheel.length)], Input.EXPIRED);
             }
         }
-        wheelAt = here;
+        wheelPosition = currentSlot;
     }
 
     // ---- What is shown ----
 
     @Override public void addCounters(Map<String, Long> counts) {
-        for (Tally t : tallies) {
-            counts.merge("fair.waited", t.waited, Long::sum);
-            counts.merge("fair.early", t.early, Long::sum);
-            counts.merge("fair.astold", t.asTold, Long::sum);
-            for (Reason r : Reason.values()) {
-                counts.merge("fair.back." + r.name().toLowerCase(Locale.ROOT), t.pushedBack[r.ordinal()], Long::sum);
+        for (TenantCounters tenant : tenantCounters) {
+            counts.merge("fair.waited", tenant.waited, Long::sum);
+            counts.merge("fair.early", tenant.earlyRetries, Long::sum);
+            counts.merge("fair.astold", tenant.redeemed, Long::sum);
+            for (PushbackReason reason : PushbackReason.values()) {
+                counts.merge("fair.back." + reason.name().toLowerCase(Locale.ROOT), tenant.pushbacks[reason.ordinal()], Long::sum);
             }
         }
-        for (Ways w : all) {
-            counts.merge("fair.pressed", w.room.begun(), Long::sum);
+        for (TrafficClass trafficClass : trafficClasses) {
+            counts.merge("fair.pressed", trafficClass.concurrencyLimit.overloadCount(), Long::sum);
         }
         super.addCounters(counts);
     }
 
     /** clients: the heaviest under pressure; tenants: what became of their RPCs; ways: room and rate. */
-    @Override public List<String[]> statisticsTable(String what) {
+    @Override public List<String[]> statisticsTable(String table) {
         List<String[]> rows = new ArrayList<>();
-        switch (what) {
+        switch (table) {
             case "clients" -> {
                 rows.add(new String[] {"client", "work_ms", "error_ms", "pushed_back"});
-                rows.addAll(heaviest.rows());
+                rows.addAll(heavyHitters.rows());
             }
             case "tenants" -> {
                 rows.add(new String[] {"tenant", "weight", "taken", "waited", "let_in", "early", "as_told",
                     "as_told_in_time", "back_no_time", "back_full", "back_late", "back_members"});
-                for (int i = 0; i < weight.length; i++) {
-                    Tally t = tallies.get(i);
-                    rows.add(new String[] {t.name, Double.toString(weight[i]), "" + t.in, "" + t.waited,
-                        "" + t.letIn, "" + t.early, "" + t.asTold, "" + t.keptInTime, "" + t.pushedBack[0],
-                        "" + t.pushedBack[1], "" + t.pushedBack[2], "" + t.pushedBack[3]});
+                for (int i = 0; i < weights.length; i++) {
+                    TenantCounters tenant = tenantCounters.get(i);
+                    rows.add(new String[] {tenant.name, Double.toString(weights[i]), "" + tenant.arrived, "" + tenant.waited,
+                        "" + tenant.admitted, "" + tenant.earlyRetries, "" + tenant.redeemed, "" + tenant.redeemedInTime, "" + tenant.pushbacks[0],
+                        "" + tenant.pushbacks[1], "" + tenant.pushbacks[2], "" + tenant.pushbacks[3]});
                 }
             }
             case "ways" -> {
                 rows.add(new String[] {"way", "pressed", "room", "inside", "waiting", "per_second", "usual_ms"});
-                for (Ways w : all) {
-                    rows.add(new String[] {"" + w.lane.index, "" + w.room.pressed(),
-                        w.room.pressed() ? "" + (int) w.room.limit() : "", "" + w.room.inside(),
-                        "" + (w.lane.length() + w.lane.kept.size()), "" + (long) w.rate(usual(w)),
-                        "" + usual(w) / 1_000_000});
+                for (TrafficClass trafficClass : trafficClasses) {
+                    rows.add(new String[] {"" + trafficClass.queue.index, "" + trafficClass.concurrencyLimit.overloaded(),
+                        trafficClass.concurrencyLimit.overloaded() ? "" + (int) trafficClass.concurrencyLimit.current() : "", "" + trafficClass.concurrencyLimit.inFlight(),
+                        "" + (trafficClass.queue.length() + trafficClass.queue.reserved.size()), "" + (long) trafficClass.rpcRate(meanServiceTime(trafficClass)),
+                        "" + meanServiceTime(trafficClass) / 1_000_000});
                 }
             }
             default -> {
-                return super.statisticsTable(what);
+                return super.statisticsTable(table);
             }
         }
         return rows;
--- /dev/null
+++ b/src/main/java/reedquay/fair/HeavyHitters.java
@@ -0,0 +1,71 @@
+package reedquay.fair;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import reedquay.core.Rpc;
+
+/**
+ * The clients that ask for most work, by Space-Saving (Metwally, Agrawal and El Abbadi 2005): a fixed number of them,
+ * each with a count that is too high by no more than its error. Whoever asks for more than the whole divided by that
+ * number is among them. Halved now and then, so that it tells of late. One thread.
+ */
+final class HeavyHitters {
+    private final long[] clientKeys;
+    private final String[] names;
+    private final long[] work;
+    private final long[] errors;
+    private final long[] pushbacks;
+    private int used;
+
+    HeavyHitters(int size) {
+        clientKeys = new long[size];
+        names = new String[size];
+        work = new long[size];
+        errors = new long[size];
+        pushbacks = new long[size];
+    }
+
+    void addWork(long clientKey, Rpc rpc, long added) {
+        int smallest = 0;
+        for (int i = 0; i < used; i++) {
+            if (clientKeys[i] == clientKey) {
+                work[i] += added;
+                return;
+            }
+            smallest = work[i] < work[smallest] ? i : smallest;
+        }
+        boolean hasFree = used < clientKeys.length;
+        int index = hasFree ? used++ : smallest;
+        errors[index] = hasFree ? 0 : work[index];
+        work[index] = errors[index] + added;
+        clientKeys[index] = clientKey;
+        names[index] = (rpc.tenant == null ? "" : rpc.tenant) + (rpc.clientId == null ? "" : " " + rpc.clientId);
+        pushbacks[index] = 0;
+    }
+
+    void recordPushback(long clientKey) {
+        for (int i = 0; i < used; i++) {
+            pushbacks[i] += clientKeys[i] == clientKey ? 1 : 0;
+        }
+    }
+
+    void halve() {
+        for (int i = 0; i < used; i++) {
+            work[i] /= 2;
+            errors[i] /= 2;
+            pushbacks[i] /= 2;
+        }
+    }
+
+    /** Name, work, the most that it may be too high by, pushed back; the heaviest first. */
+    List<String[]> rows() {
+        List<Integer> order = new ArrayList<>();
+        for (int i = 0; i < used; i++) {
+            order.add(i);
+        }
+        order.sort(Comparator.comparingLong((Integer i) -> -work[i]).thenComparingInt(i -> i));
+        return order.stream().map(i -> new String[] {names[i], Long.toString(work[i] / 1_000_000),
+            Long.toString(errors[i] / 1_000_000), Long.toString(pushbacks[i])}).toList();
+    }
+}
