--- a/src/main/java/reedquay/fair/AdmissionController.java
+++ b/src/main/java/reedquay/fair/AdmissionController.java
@@ -26,31 +26,58 @@
 import reedquay.core.Stage;
 
 /**
- * Who waits at the door, who goes in next, and what one that is turned away is told. It stands before the Router, which
- * alone decides which member, whether again, and what is turned away for a member's sake. What waits here has provably
- * never run, so that it may always be pushed back; what was let in is out of its hands. In this order: the table of an
- * RPC's way, the state, the inputs, the table's conditions and effects, room, what is shown.
+ * Admission control with weighted fair queueing in front of the Router: decides which RPCs wait, which waiting RPC is
+ * admitted next, and which RPCs are pushed back with which retry-after. The Router alone selects members, retries, and
+ * pushes RPCs back because of the state of members. An RPC that waits here has never been sent to a member, so it can
+ * always be pushed back safely; an admitted RPC is left to the Router. Clients are told apart by a seeded hash of their
+ * id. Times are in nanoseconds; most are fractions or multiples of the shortest soft deadline of all methods.
+ * Single-threaded. Order of the file: state transitions of an RPC, fields, inputs, conditions and actions of the
+ * transitions, service times and costs, timer wheel, statistics.
  */
 public final class AdmissionController extends Stage {
+    /** Where an RPC stands: not decided yet, queued, handed to the Router, or done with. */
     enum State { NEW, WAITING, ADMITTED, FINISHED }
 
-    enum Input { ARRIVED, SCHEDULED, EXPIRED, EVICTED, ANSWERED, PUSHED_BACK, TERMINATED }
-
-    private record Transition(State state, Input input, BiPredicate<AdmissionController, AdmissionEntry> condition, State nextState,
-            BiConsumer<AdmissionController, AdmissionEntry> action) { }
-
-    private static final BiPredicate<AdmissionController, AdmissionEntry> ALWAYS = (d, t) -> true;
-    private static final BiPredicate<AdmissionController, AdmissionEntry> RPC_ENDED = (d, t) -> t.rpc.ended;
-    private static final BiPredicate<AdmissionController, AdmissionEntry> NO_TRAFFIC_CLASS = (d, t) -> t.trafficClass == null;
-
-    /** The way of an RPC: the first row whose state, input and condition hold is taken. */
+    /** What happens to an RPC. */
+    enum Input {
+        ARRIVED,
+        /** The fair scheduler selected it. */
+        SCHEDULED,
+        /** It waited for as long as it may. */
+        EXPIRED,
+        /** Its place in the queue is needed for an RPC of a shorter flow. */
+        EVICTED,
+        /** It was answered with ok. */
+        ANSWERED,
+        /** The Router pushed it back. */
+        PUSHED_BACK,
+        /** Its client disconnected, or the Router aborted it. */
+        TERMINATED
+    }
+
+    private record Transition(State state, Input input, BiPredicate<AdmissionController, AdmissionEntry> condition,
+            State nextState, BiConsumer<AdmissionController, AdmissionEntry> action) { }
+
+    private static final BiPredicate<AdmissionController, AdmissionEntry> ALWAYS = (controller, entry) -> true;
+    private static final BiPredicate<AdmissionController, AdmissionEntry> RPC_ENDED =
+            (controller, entry) -> entry.rpc.ended;
+    private static final BiPredicate<AdmissionController, AdmissionEntry> NO_TRAFFIC_CLASS =
+            (controller, entry) -> entry.trafficClass == null;
+
+    /** State transitions of an RPC. The first row whose state, input and condition match applies. */
     private static final Transition[] TRANSITIONS = {
-        new Transition(State.NEW, Input.ARRIVED, NO_TRAFFIC_CLASS, State.ADMITTED, AdmissionController::forward), // the Router says what to do
-        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canEnterAtOnce, State.ADMITTED, AdmissionController::admit),
-        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canQueueReserved, State.WAITING, AdmissionController::enqueueReserved),
-        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canStartInTime, State.WAITING, AdmissionController::enqueue),
+        // an unknown group or method is for the Router to answer
+        new Transition(State.NEW, Input.ARRIVED, NO_TRAFFIC_CLASS, State.ADMITTED, AdmissionController::forward),
+        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canEnterAtOnce, State.ADMITTED,
+                AdmissionController::admit),
+        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canQueueReserved, State.WAITING,
+                AdmissionController::enqueueReserved),
+        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canStartInTime, State.WAITING,
+                AdmissionController::enqueue),
         new Transition(State.NEW, Input.ARRIVED, ALWAYS, State.FINISHED, AdmissionController::reject),
-        new Transition(State.WAITING, Input.SCHEDULED, RPC_ENDED, State.FINISHED, AdmissionController::removeFromWheel), // its client has left
+        // the RPC has ended because its client disconnected
+        new Transition(State.WAITING, Input.SCHEDULED, RPC_ENDED, State.FINISHED,
+                AdmissionController::removeFromWheel),
         new Transition(State.WAITING, Input.EXPIRED, RPC_ENDED, State.FINISHED, AdmissionController::dequeue),
         new Transition(State.WAITING, Input.EVICTED, RPC_ENDED, State.FINISHED, AdmissionController::dequeue),
         new Transition(State.WAITING, Input.SCHEDULED, ALWAYS, State.ADMITTED, AdmissionController::admit),
@@ -64,7 +91,8 @@
 
     private void apply(AdmissionEntry entry, Input input) {
         for (Transition transition : TRANSITIONS) {
-            if (transition.state == entry.state && transition.input == input && transition.condition.test(this, entry)) {
+            if (transition.state == entry.state && transition.input == input
+                    && transition.condition.test(this, entry)) {
                 entry.state = transition.nextState;
                 transition.action.accept(this, entry);
                 return;
@@ -74,19 +102,22 @@
 
     // ---- State ----
 
-    /** Why one was pushed back here; the order of the counts. */
+    /**
+     * Why an RPC was pushed back: it could not be admitted in time, all places were taken, it waited too long, or the
+     * Router pushed it back. The names are written out in counters and in the trace.
+     */
     enum PushbackReason { NO_TIME, FULL, LATE, MEMBERS }
 
-    /** What became of a tenant's RPCs. */
+    /** Counters of one tenant. */
     private static final class TenantCounters {
         final String name;
-        final double defaultWeight; // a second, as the settings have it
+        final double defaultWeight; // the tenant's quota in the settings, in RPCs per second
         long arrived;
         long waited;
         long admitted;
-        long earlyRetries;
-        long redeemed;
-        long redeemedInTime;
+        long earlyRetries; // arrived before the retry-after that the client was given
+        long redeemed; // arrived at the retry-after that the client was given
+        long redeemedInTime; // of those, answered within the soft deadline
         final long[] pushbacks = new long[PushbackReason.values().length];
 
         TenantCounters(String name, double defaultWeight) {
@@ -100,24 +131,24 @@
 
     private final Settings settings;
     private final long tick;
-    private final long shortestSoftDeadline; // the shortest soft deadline
-    private final long wheelSlotWidth;
-    private final long maxRetryAfter; // to come back
-    private final Map<String, Integer> tenantIndexes = new HashMap<>(); // never walked through
+    private final long shortestSoftDeadline; // of all methods
+    private final long wheelSlotWidth; // nanoseconds per slot of the timer wheel
+    private final long maxRetryAfter; // 0 where clients can't be given a retry-after
+    private final Map<String, Integer> tenantIndexes = new HashMap<>(); // never iterated
     private final List<TenantCounters> tenantCounters = new ArrayList<>();
     private final double[] weights;
-    private final Map<Integer, TrafficClass[]> classesByGroup = new HashMap<>(); // reads, writes; never walked through
+    private final Map<Integer, TrafficClass[]> classesByGroup = new HashMap<>(); // {reads, writes}; never iterated
     private final List<TrafficClass> trafficClasses = new ArrayList<>();
     private final FairScheduler scheduler;
     private final RetryReservations reservations;
     private final HeavyHitters heavyHitters = new HeavyHitters(HEAVY_HITTER_COUNT);
-    private final Map<Method, Latency> costsByMethod = new IdentityHashMap<>(); // never walked through
-    private final AdmissionEntry[] timerWheel; // by the time at which they can no longer be answered
+    private final Map<Method, Latency> costsByMethod = new IdentityHashMap<>(); // never iterated
+    private final AdmissionEntry[] timerWheel; // waiting entries by the time at which they expire
     private final CRC32 crc = new CRC32();
     private final ByteBuffer randomInput = ByteBuffer.allocate(2 * Long.BYTES);
-    private final Hasher64 firstHasher;
+    private final Hasher64 firstHasher; // of the first seed, for keys that stay the same
     private Hasher64 hasher;
-    private Hasher64 previousHasher; // that of the seed before, for promises made under it
+    private Hasher64 previousHasher; // of the previous seed, for reservations made under it
     private long reseededAt;
     private long randomCounter;
     private long arrivals;
@@ -126,9 +157,9 @@
     private long routerAlarmAt = NEVER;
     private long alarmAt = NEVER;
     private long halvedAt;
-    private PushbackReason why;
-    private boolean clientsMarkRetries; // clients have been seen to mark further tries
-    private boolean capacityFreed;
+    private PushbackReason pushbackReason;
+    private boolean clientsMarkRetries; // a retry marked as such has been seen
+    private boolean capacityFreed; // an admitted RPC has left since the queues were last served
 
     public AdmissionController(Settings settings, AdmissionSettings admissionSettings, RoutingActions actions) {
         super(actions);
@@ -147,41 +178,47 @@
                 smallestQuota = Math.min(smallestQuota, tenantCounters.get(tenantCounters.size() - 1).defaultWeight);
             }
         }
-        tenantCounters.add(new TenantCounters("others", smallestQuota == NEVER ? 1 : smallestQuota)); // whatever their number, they weigh as one
+        // all unknown tenants together have the weight of one
+        tenantCounters.add(new TenantCounters("others", smallestQuota == NEVER ? 1 : smallestQuota));
         weights = new double[tenantCounters.size()];
         setWeights(admissionSettings.tenantWeights());
         scheduler = new FairScheduler(admissionSettings.maxWaiting(), weights);
         scheduler.setQuantum(shortestSoftDeadline / 16);
-        reservations = new RetryReservations(Math.max(1, shortestSoftDeadline / 8), maxRetryAfter, shortestSoftDeadline / 8, admissionSettings.maxWaiting());
+        reservations = new RetryReservations(Math.max(1, shortestSoftDeadline / 8), maxRetryAfter,
+                shortestSoftDeadline / 8, admissionSettings.maxWaiting());
         reseed();
         previousHasher = firstHasher = hasher;
     }
 
-    /** Takes on weights while it runs; tenants that are not named weigh what their share is in the settings. */
+    /** Changes the tenants' weights at run time. A tenant without an entry has its quota in the settings as weight. */
     public void setWeights(Map<String, Double> weightByName) {
-        double[] weightByTenant = tenantCounters.stream().mapToDouble(tenant -> weightByName.getOrDefault(tenant.name, tenant.defaultWeight)).toArray();
+        double[] weightByTenant = tenantCounters.stream()
+                .mapToDouble(tenant -> weightByName.getOrDefault(tenant.name, tenant.defaultWeight)).toArray();
         double smallest = Arrays.stream(weightByTenant).min().orElse(1);
         Arrays.setAll(weights, i -> weightByTenant[i] / smallest);
         trafficClasses.forEach(trafficClass -> scheduler.weightsChanged(trafficClass.queue));
     }
 
-    /** Bytes that it holds from its start on, whatever the number of callers. */
+    /** Bytes allocated at construction; constant, whatever the number of clients. */
     public long memoryBytes() {
-        return scheduler.memoryBytes() + reservations.memoryBytes() + 8L * timerWheel.length + HEAVY_HITTER_COUNT * 40L;
+        return scheduler.memoryBytes() + reservations.memoryBytes() + 8L * timerWheel.length
+                + HEAVY_HITTER_COUNT * 40L;
     }
 
     // ---- Inputs ----
 
     @Override public void beginBatch(long time) {
         now = time;
-        alarmAt = now + tick >= alarmAt ? NEVER : alarmAt; // by a coarser clock it rings early
+        alarmAt = now + tick >= alarmAt ? NEVER : alarmAt; // a coarser clock can wake it up to a tick early
         routerAlarmAt = now >= routerAlarmAt ? NEVER : routerAlarmAt;
         next.beginBatch(now);
         for (int i = 0; i < trafficClasses.size(); i++) {
             TrafficClass trafficClass = trafficClasses.get(i);
             trafficClass.closeWindow(now);
-            if (trafficClass.concurrencyLimit.overloaded() && trafficClass.queue.length() == 0 && trafficClass.queue.reserved.isEmpty()
-                    && trafficClass.concurrencyLimit.inFlight() < trafficClass.concurrencyLimit.current() / 2 && now - 4 * shortestSoftDeadline >= trafficClass.lastQueuedAt) {
+            if (trafficClass.concurrencyLimit.overloaded() && trafficClass.queue.length() == 0
+                    && trafficClass.queue.reserved.isEmpty()
+                    && trafficClass.concurrencyLimit.inFlight() < trafficClass.concurrencyLimit.current() / 2
+                    && now - 4 * shortestSoftDeadline >= trafficClass.lastQueuedAt) {
                 trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.IDLE, now, shortestSoftDeadline);
             }
         }
@@ -199,21 +236,24 @@
 
     @Override public void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) {
         for (ListedMember entry : entries) {
-            classesByGroup.computeIfAbsent(entry.group(), g -> new TrafficClass[] {newTrafficClass(), newTrafficClass()});
+            classesByGroup.computeIfAbsent(entry.group(),
+                    group -> new TrafficClass[] {newTrafficClass(), newTrafficClass()});
         }
         next.membersListed(kind, entries);
     }
 
     private TrafficClass newTrafficClass() {
         FairScheduler.Queue queue = scheduler.newQueue();
-        TrafficClass trafficClass = new TrafficClass(queue, reservations.new Schedule(queue.index), shortestSoftDeadline / 16, shortestSoftDeadline / 2);
+        TrafficClass trafficClass = new TrafficClass(queue, reservations.new Schedule(queue.index),
+                shortestSoftDeadline / 16, shortestSoftDeadline / 2);
         trafficClasses.add(trafficClass);
         return trafficClass;
     }
 
     @Override public void rpcArrived(Rpc rpc) {
         TrafficClass[] classes = rpc.method == null ? null : classesByGroup.get(rpc.group);
-        AdmissionEntry entry = new AdmissionEntry(rpc, classes == null ? null : classes[isRead(rpc.method) ? 0 : 1], tenantIndex(rpc), now);
+        AdmissionEntry entry = new AdmissionEntry(rpc, classes == null ? null : classes[isRead(rpc.method) ? 0 : 1],
+                tenantIndex(rpc), now);
         rpc.filterState = entry;
         entry.sampled = (++arrivals & 3) == 0;
         tenantCounters.get(entry.tenant).arrived++;
@@ -226,15 +266,19 @@
     }
 
     /**
-     * Whether its being held or turned away shows a want of room: a write, or a read that any replica may serve now.
-     * What waits for data to be recent enough waits for something else.
+     * Whether a delay or a pushback of this RPC by the Router shows a lack of capacity. True of writes and of reads
+     * that any replica may serve now; a read that needs recent data may be waiting for replication instead.
      */
     private static boolean limitedByCapacityOnly(Rpc rpc) {
         Method.Consistency consistency = rpc.method.consistency();
-        return consistency != Method.Consistency.BOUNDED && (consistency != Method.Consistency.SESSION || rpc.sessionTokenAge == 0);
+        return consistency != Method.Consistency.BOUNDED
+                && (consistency != Method.Consistency.SESSION || rpc.sessionTokenAge == 0);
     }
 
-    /** Without pressure one in four is measured: it costs more than all else that is done for an RPC then. */
+    /**
+     * Whether the times of this RPC are recorded: all under overload, else one RPC in four, since recording costs more
+     * than everything else that is done for an RPC without overload.
+     */
     private static boolean isMeasured(AdmissionEntry entry) {
         return entry.trafficClass == null || entry.trafficClass.concurrencyLimit.overloaded() || entry.sampled;
     }
@@ -243,14 +287,15 @@
         return method.consistency() != Method.Consistency.WRITE && method.consistency() != Method.Consistency.FRESH;
     }
 
-    @Override public void callOutEnded(CallOut callOut, Outcome outcome, long took, boolean ended, long position, Role role,
-            LoadReport report) {
+    @Override public void callOutEnded(CallOut callOut, Outcome outcome, long took, boolean ended, long position,
+            Role role, LoadReport report) {
         AdmissionEntry entry = (AdmissionEntry) callOut.rpc.filterState;
         if (outcome == Outcome.OK && isMeasured(entry)) {
             costsOf(callOut.rpc.method).add(took);
         }
         if (outcome == Outcome.FULL && entry.trafficClass != null) {
-            entry.trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.REJECTED, now, meanServiceTime(entry.trafficClass));
+            entry.trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.REJECTED, now,
+                    meanServiceTime(entry.trafficClass));
         }
         if (ended && outcome == Outcome.OK) {
             apply(entry, Input.ANSWERED);
@@ -262,9 +307,11 @@
         AdmissionEntry entry = (AdmissionEntry) callOut.rpc.filterState;
         if (!entry.calledOut && entry.trafficClass != null && limitedByCapacityOnly(callOut.rpc)) {
             entry.heldByRouter = now > entry.admittedAt;
-            boolean groupAnswers = now - shortestSoftDeadline <= entry.trafficClass.lastOkAt; // else it is gone or unknown, and not full
+            // without a recent answer the members are gone or unknown rather than full
+            boolean groupAnswers = now - shortestSoftDeadline <= entry.trafficClass.lastOkAt;
             if (groupAnswers && (entry.heldByRouter || entry.trafficClass.concurrencyLimit.overloaded())) {
-                entry.trafficClass.holdTimes.add((long) ((double) (now - entry.admittedAt) * shortestSoftDeadline / callOut.rpc.method.softDeadline()));
+                entry.trafficClass.holdTimes.add((long) ((double) (now - entry.admittedAt) * shortestSoftDeadline
+                        / callOut.rpc.method.softDeadline()));
             }
         }
         entry.calledOut = true;
@@ -274,20 +321,21 @@
     @Override public void clientGone(Rpc rpc) {
         AdmissionEntry entry = (AdmissionEntry) rpc.filterState;
         apply(entry, Input.TERMINATED);
-        if (entry.forwarded) { // the Router knows of no other
+        if (entry.forwarded) { // the Router doesn't know RPCs that only waited here
             next.clientGone(rpc);
         }
     }
 
     @Override public String explain(Rpc rpc) {
-        return ((AdmissionEntry) rpc.filterState).forwarded ? next.explain(rpc) : "at the door, " + why;
+        return ((AdmissionEntry) rpc.filterState).forwarded ? next.explain(rpc) : "at the door, " + pushbackReason;
     }
 
     @Override public void deadlineShortened(Rpc rpc) {
         AdmissionEntry entry = (AdmissionEntry) rpc.filterState;
-        if (entry.state == State.WAITING) { // guards what waits against a stop that comes before its turn
+        if (entry.state == State.WAITING) { // else a shutdown before it is admitted would leave it without an answer
             removeFromWheel(entry);
-            entry.expiresAt = Math.min(entry.expiresAt, entry.arrivedAt + (rpc.deadline - entry.arrivedAt) / 2 - wheelSlotWidth);
+            entry.expiresAt = Math.min(entry.expiresAt,
+                    entry.arrivedAt + (rpc.deadline - entry.arrivedAt) / 2 - wheelSlotWidth);
             addToWheel(entry);
         } else if (entry.forwarded) {
             next.deadlineShortened(rpc);
@@ -295,7 +343,7 @@
     }
 
     @Override public void pushBack(Rpc rpc, long after) {
-        why = PushbackReason.MEMBERS;
+        pushbackReason = PushbackReason.MEMBERS;
         AdmissionEntry entry = (AdmissionEntry) rpc.filterState;
         tenantCounters.get(entry.tenant).pushbacks[PushbackReason.MEMBERS.ordinal()]++;
         apply(entry, Input.PUSHED_BACK);
@@ -333,61 +381,74 @@
         routerAlarmAt = Math.min(routerAlarmAt, now + delay);
     }
 
-    // ---- Conditions and effects of the table ----
+    // ---- Conditions and actions of the transitions ----
 
-    /** Nobody waits there and there is room: all that is asked without pressure. */
+    /** Whether nothing waits and the concurrency limit isn't reached. Without overload nothing else is checked. */
     private boolean canEnterAtOnce(AdmissionEntry entry) {
         if (!entry.trafficClass.concurrencyLimit.hasCapacity()) {
-            entry.trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.BURST, now, meanServiceTime(entry.trafficClass));
+            entry.trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.BURST, now,
+                    meanServiceTime(entry.trafficClass));
         }
-        boolean canEnter = entry.trafficClass.concurrencyLimit.hasCapacity() && entry.queue.length() == 0 && entry.queue.reserved.isEmpty();
-        entry.reserved = (entry.trafficClass.concurrencyLimit.overloaded() || reservations.mayHaveOutstanding(now)) && redeemReservation(entry);
+        boolean canEnter = entry.trafficClass.concurrencyLimit.hasCapacity() && entry.queue.length() == 0
+                && entry.queue.reserved.isEmpty();
+        entry.reserved = (entry.trafficClass.concurrencyLimit.overloaded() || reservations.mayHaveOutstanding(now))
+                && redeemReservation(entry);
         return canEnter;
     }
 
+    /** Whether it arrived at its retry-after and can still wait in the queue of reserved entries. */
     private boolean canQueueReserved(AdmissionEntry entry) {
         entry.reserved = entry.reserved && now + wheelSlotWidth <= entry.expiresAt && ensurePlace(entry);
         return entry.reserved;
     }
 
-    /** Whether the client comes when it was told to; asked once, since a promise is kept once. */
+    /**
+     * Whether the client arrives at the retry-after that it was given. Called once per RPC, since it consumes the
+     * reservation.
+     */
     private boolean redeemReservation(AdmissionEntry entry) {
         estimate(entry);
         RetryReservations.Schedule schedule = entry.trafficClass.schedule;
         clientsMarkRetries |= entry.rpc.retry;
-        // where further tries are marked, one that is not can't be the one that was told
+        // once clients are known to mark retries, an RPC without the mark can't be the retry that has the reservation
         boolean eligible = entry.rpc.retry || !clientsMarkRetries;
         boolean redeemed = eligible && (schedule.redeem(entry.clientKey, now)
                 || previousHasher != hasher && schedule.redeem(clientKey(previousHasher, entry.rpc), now));
         if (redeemed) {
             tenantCounters.get(entry.tenant).redeemed++;
         } else if (schedule.isEarly(entry.clientKey, now)) {
-            tenantCounters.get(entry.tenant).earlyRetries++; // it keeps its promise and is one more of its client's
+            tenantCounters.get(entry.tenant).earlyRetries++; // the reservation stays, for another RPC of the client
         }
         return redeemed;
     }
 
+    /** Whether it is expected to be admitted before it expires, and there is a place for it in the queue. */
     private boolean canStartInTime(AdmissionEntry entry) {
-        why = PushbackReason.NO_TIME;
+        pushbackReason = PushbackReason.NO_TIME;
         return now + Math.max(expectedWait(entry), wheelSlotWidth) <= entry.expiresAt && ensurePlace(entry);
     }
 
-    /** Who it is, what it costs, until when it can wait: asked only under pressure. */
+    /** Sets the entry's client key, expected cost, utility per work and expiry. Needed only under overload. */
     private void estimate(AdmissionEntry entry) {
         Method method = entry.rpc.method;
         entry.clientKey = clientKey(hasher, entry.rpc);
         entry.cost = Math.max(1, costsOf(method).quantile(0.25, shortestSoftDeadline / 16));
         entry.utilityPerWork = method.utility() / entry.cost;
         long halfTimeLeft = (entry.rpc.deadline - entry.arrivedAt) / 2 - wheelSlotWidth;
-        long queueTimeLimit = method.lateUtilityShare() > 0 ? halfTimeLeft : method.softDeadline() - meanServiceTime(entry.trafficClass);
+        long queueTimeLimit = method.lateUtilityShare() > 0 ? halfTimeLeft
+                : method.softDeadline() - meanServiceTime(entry.trafficClass);
         entry.expiresAt = entry.arrivedAt + Math.min(queueTimeLimit, halfTimeLeft);
         heavyHitters.addWork(stableKey(entry.rpc), entry.rpc, entry.cost);
     }
 
-    /** A key that stays the same under all seeds, to count by. */
+    /** A key of tenant and client that doesn't change with the seed, for the heavy-hitter counts. */
     private long stableKey(Rpc rpc) { return clientKey(firstHasher, rpc) + tenantIndex(rpc); }
 
-    /** How long it would wait: its own client's turns, or all that is before it where that is less. */
+    /**
+     * Expected time in the queue: the time to serve the client's queued work and this RPC in round robin with the
+     * tenant's other flows, or all queued work where that is less; no shorter than the rate at which the client has
+     * recently been served implies.
+     */
     private long expectedWait(AdmissionEntry entry) {
         TrafficClass trafficClass = entry.trafficClass;
         FairScheduler.Queue queue = entry.queue;
@@ -395,20 +456,26 @@
         double share = queue.share(entry.tenant, weights[entry.tenant]);
         long clientWork = scheduler.queuedWork(queue, entry.tenant, entry.clientKey);
         int tenantFlows = queue.flowCount(entry.tenant) + (clientWork == 0 ? 1 : 0);
-        double workAhead = (double) (clientWork + entry.cost) * tenantFlows / share; // each of its turns is one of all the others'
+        // a round serves each flow of the tenant once
+        double workAhead = (double) (clientWork + entry.cost) * tenantFlows / share;
         double servedRate = scheduler.servedRate(queue, entry.tenant, entry.clientKey, now, shortestSoftDeadline / 4);
-        double observedWait = servedRate > 0 ? (clientWork + entry.cost) / servedRate * 1e9 : 0; // what others leave is less than its turns
+        // what others leave to the client can be less than its share of the rounds
+        double observedWait = servedRate > 0 ? (clientWork + entry.cost) / servedRate * 1e9 : 0;
         return (long) Math.max(observedWait, Math.min(workAhead, queue.queuedWork()) / workRate * 1e9);
     }
 
-    /** Where all places are taken, one of the longest flow met gives its own up, unless this one's is as long. */
+    /**
+     * Whether there is a place in the queue. Where all places are taken, the last entry of the longest flow in a random
+     * sample is evicted, unless the flow of this entry would become as long.
+     */
     private boolean ensurePlace(AdmissionEntry entry) {
         if (!scheduler.full()) {
             return true;
         }
-        why = PushbackReason.FULL;
+        pushbackReason = PushbackReason.FULL;
         AdmissionEntry candidate = scheduler.evictionCandidate(nextRandom());
-        if (candidate == null || candidate.queue == entry.queue && candidate.clientKey == entry.clientKey && candidate.tenant == entry.tenant
+        if (candidate == null || candidate.queue == entry.queue && candidate.clientKey == entry.clientKey
+                && candidate.tenant == entry.tenant
                 || flowLength(candidate) <= scheduler.flowLength(entry.queue, entry.tenant, entry.clientKey) + 1) {
             return false;
         }
@@ -428,7 +495,7 @@
         tenantCounters.get(entry.tenant).waited++;
         scheduler.add(entry.queue, entry, now);
         if (scheduler.waiting() == 1) {
-            wheelPosition = now / wheelSlotWidth; // it has not turned while nobody waited
+            wheelPosition = now / wheelSlotWidth; // the wheel doesn't advance while nothing waits
         }
         addToWheel(entry);
     }
@@ -443,28 +510,28 @@
         removeFromWheel(entry);
         tenantCounters.get(entry.tenant).admitted++;
         entry.trafficClass.concurrencyLimit.acquire();
-        entry.rpc.retry &= !entry.reserved; // what was told to come is no stray retry
+        entry.rpc.retry &= !entry.reserved; // a retry at its retry-after is not an unsolicited one
         forward(entry);
     }
 
     private void reject(AdmissionEntry entry) {
-        tenantCounters.get(entry.tenant).pushbacks[why.ordinal()]++;
+        tenantCounters.get(entry.tenant).pushbacks[pushbackReason.ordinal()]++;
         entry.trafficClass.markSaturated();
         entry.trafficClass.lastQueuedAt = now;
         heavyHitters.recordPushback(stableKey(entry.rpc));
         actions.pushBack(entry.rpc, reserveRetryAfter(entry));
     }
 
-    /** It can no longer be answered in time. */
+    /** Pushes back an RPC that can no longer be answered in time. */
     private void expire(AdmissionEntry entry) {
-        why = PushbackReason.LATE;
+        pushbackReason = PushbackReason.LATE;
         dequeue(entry);
         reject(entry);
     }
 
-    /** Another needs its place more. */
+    /** Pushes back an RPC whose place is needed for an RPC of a shorter flow. */
     private void evict(AdmissionEntry entry) {
-        why = PushbackReason.FULL;
+        pushbackReason = PushbackReason.FULL;
         dequeue(entry);
         reject(entry);
     }
@@ -497,20 +564,23 @@
             tenantCounters.get(entry.tenant).redeemedInTime++;
         }
         if (!trafficClass.concurrencyLimit.overloaded() && !entry.heldByRouter) {
-            return; // without pressure there is nothing to learn
+            return; // without overload the answer tells nothing of the capacity
         }
         trafficClass.recordServed(costsOf(method).quantile(0.25, shortestSoftDeadline / 16));
         long meanHoldTime = trafficClass.holdTimes.mean(0);
         if (meanHoldTime > shortestSoftDeadline / 32) {
-            trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.SLOW_ANSWER, now, meanServiceTime(trafficClass));
+            trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.SLOW_ANSWER, now,
+                    meanServiceTime(trafficClass));
         } else if (meanHoldTime <= shortestSoftDeadline / 64) {
-            trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.FAST_ANSWER, now, meanServiceTime(trafficClass));
+            trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.FAST_ANSWER, now,
+                    meanServiceTime(trafficClass));
         }
     }
 
     /**
-     * Turned away inside: for want of room, as far as can be seen from here, where its data may be of any age and
-     * answers come. What lags or has no primary is no matter of room.
+     * The Router pushed back an admitted RPC. As far as it can be seen from here, that shows a lack of capacity only
+     * where the RPC needs no recent data and the group has answered recently. Lagging replicas and a missing primary
+     * are not a lack of capacity.
      */
     private void recordPushback(AdmissionEntry entry) {
         release(entry);
@@ -520,13 +590,15 @@
         }
         trafficClass.markSaturated();
         if (limitedByCapacityOnly(entry.rpc) && now - shortestSoftDeadline <= trafficClass.lastOkAt) {
-            trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.REJECTED, now, Math.max(meanServiceTime(trafficClass), shortestSoftDeadline / 4)); // so long it holds what was let in
+            // the Router holds an admitted RPC for up to this long before it pushes it back
+            trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.REJECTED, now,
+                    Math.max(meanServiceTime(trafficClass), shortestSoftDeadline / 4));
         }
     }
 
-    // ---- Times, costs, clients ----
+    // ---- Retry-after, costs, client keys ----
 
-    /** What one that the Router turned away is told: its time while there is no pressure, else the calendar's. */
+    /** The retry-after of an RPC that the Router pushed back: the Router's without overload, else a reserved one. */
     private long retryAfterRouterPushback(AdmissionEntry entry, long after) {
         if (entry.trafficClass.concurrencyLimit.overloaded()) {
             return reserveRetryAfter(entry);
@@ -534,7 +606,10 @@
         return after <= 0 ? after : entry.trafficClass.schedule.record(clientKey(hasher, entry.rpc), now, after);
     }
 
-    /** When the client is to come: when what it has waiting will have gone far enough for one more to be in time. */
+    /**
+     * Reserves a retry-after for the client: when enough of its queued work will have been served for one more RPC to
+     * be answered in time. 0 where there is none to give.
+     */
     private long reserveRetryAfter(AdmissionEntry entry) {
         if (maxRetryAfter <= 0 || entry.trafficClass == null) {
             return 0;
@@ -545,10 +620,13 @@
         TrafficClass trafficClass = entry.trafficClass;
         long allowedWait = entry.rpc.method.softDeadline() / 2;
         long delay = Math.max(0, expectedWait(entry) - allowedWait);
-        return trafficClass.schedule.reserve(entry.clientKey, now, delay, trafficClass.rpcRate(meanServiceTime(trafficClass)) / 2);
+        return trafficClass.schedule.reserve(entry.clientKey, now, delay,
+                trafficClass.rpcRate(meanServiceTime(trafficClass)) / 2);
     }
 
-    private long meanServiceTime(TrafficClass trafficClass) { return trafficClass.serviceTimes.mean(shortestSoftDeadline / 4); }
+    private long meanServiceTime(TrafficClass trafficClass) {
+        return trafficClass.serviceTimes.mean(shortestSoftDeadline / 4);
+    }
 
     private Latency costsOf(Method method) {
         return costsByMethod.computeIfAbsent(method, x -> new Latency(Math.max(1, shortestSoftDeadline / 256)));
@@ -560,8 +638,8 @@
     }
 
     /**
-     * The seed by which clients are told apart changes: guards a client that happens to share a key with another, and
-     * against one that found out how to. What waits moves to its new key in its order.
+     * Changes the seed of the client keys, so that no two clients share a key for long, which happens by chance or when
+     * a client finds a collision on purpose. Waiting entries move to the flows of their new keys in order of arrival.
      */
     private void reseed() {
         reseededAt = now;
@@ -576,7 +654,8 @@
                 waiting.add(entry);
             }
         }
-        waiting.sort(java.util.Comparator.comparingLong((AdmissionEntry entry) -> entry.arrivedAt).thenComparingInt(entry -> entry.entryIndex));
+        waiting.sort(java.util.Comparator.comparingLong((AdmissionEntry entry) -> entry.arrivedAt)
+                .thenComparingInt(entry -> entry.entryIndex));
         waiting.forEach(scheduler::remove);
         for (AdmissionEntry entry : waiting) {
             entry.clientKey = clientKey(hasher, entry.rpc);
@@ -584,13 +663,14 @@
         }
     }
 
+    /** A reproducible pseudo-random number of 32 bits: CRC-32 of the seed in the settings and a counter. */
     private long nextRandom() {
         crc.reset();
         crc.update(randomInput.putLong(0, settings.seed()).putLong(8, randomCounter++).rewind());
         return crc.getValue();
     }
 
-    // ---- The wheel: each waits until its moment, told within one spoke ----
+    // ---- Timer wheel: each waiting entry expires within one slot width of its time ----
 
     private void addToWheel(AdmissionEntry entry) {
         long slotsAhead = Math.max(1, Math.min(timerWheel.length - 1, (entry.expiresAt - now) / wheelSlotWidth));
@@ -629,7 +709,7 @@
         wheelPosition = currentSlot;
     }
 
-    // ---- What is shown ----
+    // ---- Statistics ----
 
     @Override public void addCounters(Map<String, Long> counts) {
         for (TenantCounters tenant : tenantCounters) {
@@ -637,7 +717,8 @@
             counts.merge("fair.early", tenant.earlyRetries, Long::sum);
             counts.merge("fair.astold", tenant.redeemed, Long::sum);
             for (PushbackReason reason : PushbackReason.values()) {
-                counts.merge("fair.back." + reason.name().toLowerCase(Locale.ROOT), tenant.pushbacks[reason.ordinal()], Long::sum);
+                counts.merge("fair.back." + reason.name().toLowerCase(Locale.ROOT), tenant.pushbacks[reason.ordinal()],
+                        Long::sum);
             }
         }
         for (TrafficClass trafficClass : trafficClasses) {
@@ -646,7 +727,10 @@
         super.addCounters(counts);
     }
 
-    /** clients: the heaviest under pressure; tenants: what became of their RPCs; ways: room and rate. */
+    /**
+     * Tables of SHOW. clients: those that asked for most work under overload; tenants: counters of their RPCs; ways:
+     * concurrency limit, queue and rate of each traffic class.
+     */
     @Override public List<String[]> statisticsTable(String table) {
         List<String[]> rows = new ArrayList<>();
         switch (table) {
@@ -659,17 +743,21 @@
                     "as_told_in_time", "back_no_time", "back_full", "back_late", "back_members"});
                 for (int i = 0; i < weights.length; i++) {
                     TenantCounters tenant = tenantCounters.get(i);
-                    rows.add(new String[] {tenant.name, Double.toString(weights[i]), "" + tenant.arrived, "" + tenant.waited,
-                        "" + tenant.admitted, "" + tenant.earlyRetries, "" + tenant.redeemed, "" + tenant.redeemedInTime, "" + tenant.pushbacks[0],
-                        "" + tenant.pushbacks[1], "" + tenant.pushbacks[2], "" + tenant.pushbacks[3]});
+                    rows.add(new String[] {tenant.name, Double.toString(weights[i]), "" + tenant.arrived,
+                        "" + tenant.waited, "" + tenant.admitted, "" + tenant.earlyRetries, "" + tenant.redeemed,
+                        "" + tenant.redeemedInTime, "" + tenant.pushbacks[0], "" + tenant.pushbacks[1],
+                        "" + tenant.pushbacks[2], "" + tenant.pushbacks[3]});
                 }
             }
             case "ways" -> {
                 rows.add(new String[] {"way", "pressed", "room", "inside", "waiting", "per_second", "usual_ms"});
                 for (TrafficClass trafficClass : trafficClasses) {
-                    rows.add(new String[] {"" + trafficClass.queue.index, "" + trafficClass.concurrencyLimit.overloaded(),
-                        trafficClass.concurrencyLimit.overloaded() ? "" + (int) trafficClass.concurrencyLimit.current() : "", "" + trafficClass.concurrencyLimit.inFlight(),
-                        "" + (trafficClass.queue.length() + trafficClass.queue.reserved.size()), "" + (long) trafficClass.rpcRate(meanServiceTime(trafficClass)),
+                    rows.add(new String[] {"" + trafficClass.queue.index,
+                        "" + trafficClass.concurrencyLimit.overloaded(),
+                        trafficClass.concurrencyLimit.overloaded() ? "" + (int) trafficClass.concurrencyLimit.current()
+                                : "", "" + trafficClass.concurrencyLimit.inFlight(),
+                        "" + (trafficClass.queue.length() + trafficClass.queue.reserved.size()),
+                        "" + (long) trafficClass.rpcRate(meanServiceTime(trafficClass)),
                         "" + meanServiceTime(trafficClass) / 1_000_000});
                 }
             }
