--- a/src/main/java/reedquay/fair/FairScheduler.java
+++ b/src/main/java/reedquay/fair/FairScheduler.java
@@ -4,32 +4,33 @@
 import java.util.Arrays;
 
 /**
- * What waits, in the order in which it goes in: by lane, then by tenant, then by client, each level in surplus round
- * robin by work (Shreedhar and Varghese 1995, with Adiseshu's surplus: what goes first may overdraw its credit and
- * pays later). A client has a flow only while something of it waits, so that all arrays are as long as the most that
- * may wait, whatever the number of callers: an idle client costs nothing. Flows are found by a 64-bit key in an open
- * table of twice as many places. Invariants: a flow is in its tenant's ring exactly while it holds an entry; a tenant
- * is in its lane's ring exactly while it has a flow; entries, flows and places in the table are freed together.
- * One thread; no clock.
+ * Fair queues of waiting entries. Each queue is served by hierarchical deficit round robin by work, over tenants by
+ * weight and within a tenant over clients equally (Shreedhar and Varghese 1995), in the surplus variant of Adiseshu: an
+ * entry may overdraw the credit of its flow, which pays it back in later rounds. A flow holds the waiting entries of
+ * one client of one tenant in one queue, and exists only while there are any. The arrays are sized by the maximum
+ * number of waiting entries, whatever the number of clients, and an idle client takes no memory. Flows are found by a
+ * 64-bit key in an open-addressing hash table with about twice as many slots as flows. Invariants: a flow is in its
+ * tenant's ring exactly while it holds an entry; a tenant is in its queue's ring exactly while it has a flow; entries,
+ * flows and table slots are freed together. Single-threaded; reads no clock.
  */
 final class FairScheduler {
     static final int NONE = -1;
-    private static final int MAX_SCANNED = 8; // entries of one flow that are weighed against each other
+    private static final int MAX_SCANNED = 8; // entries examined for one decision
 
-    /** One way into a group: what waits there and whose turn it is. */
+    /** The queue of one traffic class: its reserved entries and the round-robin state of its tenants. */
     static final class Queue {
         final int index;
-        /** Those that came when they were told, the first first; they go before all others. */
+        /** Entries that arrived at their retry-after, in order of arrival; served before all others. */
         final ArrayDeque<AdmissionEntry> reserved = new ArrayDeque<>();
-        private final int[] currentFlow; // by tenant, the flow whose turn it is
-        private final int[] flowCount; // by tenant, how many
-        private final int[] nextTenant;
+        private final int[] currentFlow; // by tenant: the flow served next
+        private final int[] flowCount; // by tenant
+        private final int[] nextTenant; // ring of the tenants that have a flow
         private final int[] previousTenant;
         private final long[] tenantCredit; // by tenant
-        private final long[] tenantQueuedWork; // by tenant, work
-        private int currentTenant = NONE; // the tenant whose turn it is
-        private double activeWeight; // of the tenants that wait
-        private long queuedWork; // work, without what is kept
+        private final long[] tenantQueuedWork; // by tenant
+        private int currentTenant = NONE; // the tenant served next
+        private double activeWeight; // sum over the tenants that have a flow
+        private long queuedWork; // without reserved entries
         private int length;
 
         private Queue(int index, int tenants) {
@@ -43,17 +44,17 @@
             tenantQueuedWork = new long[tenants];
         }
 
-        /** Work that waits, in the unit of the costs. */
+        /** Queued work in the unit of the entries' costs, without reserved entries. */
         long queuedWork() { return queuedWork; }
 
-        /** How many wait in turn, without what is kept. */
+        /** Number of waiting entries, without reserved ones. */
         int length() { return length; }
 
         int flowCount(int tenant) { return flowCount[tenant]; }
 
         long queuedWork(int tenant) { return tenantQueuedWork[tenant]; }
 
-        /** The part of what is served that this tenant has while it and those that wait do. */
+        /** The tenant's part of the service, from 0 to 1, while it and the tenants that now have a flow wait. */
         double share(int tenant, double weight) {
             return weight / (flowCount[tenant] > 0 ? activeWeight : activeWeight + weight);
         }
@@ -76,18 +77,21 @@
     private final int[] entryCount;
     private final long[] flowCredit;
     private final long[] queuedWork;
-    private final long[] servedWork; // work since it opened, halved with the time
+    private final long[] servedWork; // since servedSince; both halve the past now and then
     private final long[] servedSince;
     private final int[] nextFlow;
     private final int[] previousFlow;
     private int freeFlow;
-    // the table: places of flows by key
+    // hash table: key to flow
     private final int[] table;
     private final int tableMask;
     private long quantum = 1;
     private int queueCount;
 
-    /** most: how many may wait; weight: by tenant, above zero, the smallest 1 or more. */
+    /**
+     * capacity: the most entries that may wait; weights: by tenant, above zero, the smallest 1 or more. The array is
+     * shared with the caller, who reports changes by weightsChanged.
+     */
     FairScheduler(int capacity, double[] weights) {
         this.weights = weights;
         tenantCount = weights.length;
@@ -123,7 +127,7 @@
 
     Queue newQueue() { return new Queue(queueCount++, tenantCount); }
 
-    /** The bytes of its arrays, fixed for as long as it lives. */
+    /** Bytes of the arrays, constant from construction on. */
     long memoryBytes() {
         return (long) entries.length * (4 * 3 + 8 * 5 + 4 * 7) + 4L * table.length;
     }
@@ -134,7 +138,7 @@
 
     boolean full() { return freeEntry == NONE; }
 
-    /** Weights have changed: what a lane adds up anew is what waits in it. */
+    /** Recomputes the sum of active weights of a queue after the weights have changed. */
     void weightsChanged(Queue queue) {
         queue.activeWeight = 0;
         for (int tenant = 0; tenant < tenantCount; tenant++) {
@@ -142,10 +146,10 @@
         }
     }
 
-    /** Credit that a client gets in each round: no less than the dearest RPC costs, so that each round serves. */
+    /** Credit of a client per round; no less than the most expensive RPC costs, so that each round serves an entry. */
     void setQuantum(long work) { quantum = Math.max(1, work); }
 
-    /** Takes an entry that has a place; the caller has seen that it is not full. */
+    /** Adds an entry. The caller has checked that it isn't full. */
     void add(Queue queue, AdmissionEntry entry, long now) {
         int index = freeEntry;
         freeEntry = nextEntry[index];
@@ -210,7 +214,7 @@
         freeEntry = index;
     }
 
-    /** The one whose turn it is, taken out; null where nothing waits. */
+    /** Removes and returns the entry served next; null where nothing waits. */
     AdmissionEntry poll(Queue queue) {
         AdmissionEntry entry = queue.reserved.peekFirst();
         if (entry != null) {
@@ -243,8 +247,9 @@
     }
 
     /**
-     * The client pays for what it got elsewhere too: guards against one that calls under several tenants' names. What
-     * it can owe is bounded by four rounds.
+     * Charges the client's flows under other tenants for work that was served, which prevents a client from getting
+     * more than its share by calling under several tenants' names; with chargeServedTenant also its flow under the
+     * served tenant and that tenant's credit. The debt is limited to the credit of four rounds.
      */
     private void charge(Queue queue, int servedTenant, long clientKey, long cost, boolean chargeServedTenant) {
         int tenant = queue.currentTenant;
@@ -259,11 +264,12 @@
             tenant = queue.nextTenant[tenant];
         } while (tenant != queue.currentTenant);
         if (chargeServedTenant && queue.flowCount[servedTenant] > 0) {
-            queue.tenantCredit[servedTenant] = Math.max(queue.tenantCredit[servedTenant] - cost, (long) (-4 * quantum * weights[servedTenant]));
+            queue.tenantCredit[servedTenant] = Math.max(queue.tenantCredit[servedTenant] - cost,
+                    (long) (-4 * quantum * weights[servedTenant]));
         }
     }
 
-    /** Of a client's own, the most useful for its work goes first; of equals the one that came first. */
+    /** The entry with the highest utility per work among the first of the flow; of equal ones the oldest. */
     private AdmissionEntry mostUseful(int flow) {
         AdmissionEntry best = entries[firstEntry[flow]];
         int index = nextEntry[firstEntry[flow]];
@@ -274,11 +280,15 @@
         return best;
     }
 
-    /** The last of the longer flow: of some entries drawn at these places, those of long flows are met most. */
+    /**
+     * The newest entry of the longest flow in a sample of entries; null where the sample is empty. A long flow is
+     * likely to be in the sample, as it has many entries.
+     */
     AdmissionEntry evictionCandidate(long random) {
         AdmissionEntry longest = null;
         for (int i = 0; i < MAX_SCANNED; i++) {
-            AdmissionEntry sampled = entries[(int) Long.remainderUnsigned(random + i * 0x9E3779B97F4A7C15L, entries.length)];
+            AdmissionEntry sampled = entries[(int) Long.remainderUnsigned(random + i * 0x9E3779B97F4A7C15L,
+                    entries.length)];
             if (sampled != null && sampled.flowIndex != NONE
                     && (longest == null || entryCount[sampled.flowIndex] > entryCount[longest.flowIndex])) {
                 longest = sampled;
@@ -287,13 +297,16 @@
         return longest == null ? null : entries[lastEntry[longest.flowIndex]];
     }
 
-    /** How many of this client wait. */
+    /** Number of waiting entries of a client. */
     int flowLength(Queue queue, int tenant, long clientKey) {
         int flow = findFlow(queue, tenant, clientKey);
         return flow == NONE ? 0 : entryCount[flow];
     }
 
-    /** Work a second that this client has been served of late while it waited; 0 before so much time has passed. */
+    /**
+     * Work per second that the client has recently been served while it had entries waiting; 0 before minDuration
+     * nanoseconds have passed. After four times that long the past counts half.
+     */
     double servedRate(Queue queue, int tenant, long clientKey, long now, long minDuration) {
         int flow = findFlow(queue, tenant, clientKey);
         if (flow == NONE || now - minDuration < servedSince[flow]) {
@@ -308,13 +321,13 @@
         return rate;
     }
 
-    /** Work of this client that waits. */
+    /** Queued work of a client. */
     long queuedWork(Queue queue, int tenant, long clientKey) {
         int flow = findFlow(queue, tenant, clientKey);
         return flow == NONE ? 0 : queuedWork[flow];
     }
 
-    // ---- Flows and their table ----
+    // ---- Flows and their hash table ----
 
     private int openFlow(Queue queue, int tenant, long clientKey, long now) {
         int flow = freeFlow;
@@ -330,7 +343,7 @@
         if (queue.flowCount[tenant]++ == 0) {
             queue.currentFlow[tenant] = nextFlow[flow] = previousFlow[flow] = flow;
             activateTenant(queue, tenant);
-        } else { // the newest has its turn last
+        } else { // a new flow is served last in the round
             insertBefore(nextFlow, previousFlow, flow, queue.currentFlow[tenant]);
         }
         int slot = homeSlot(queue, tenant, clientKey);
@@ -365,7 +378,8 @@
         if (--queue.flowCount[tenant] == 0) {
             queue.currentFlow[tenant] = NONE;
             queue.activeWeight = Math.max(0, queue.activeWeight - weights[tenant]);
-            queue.currentTenant = queue.currentTenant != tenant ? queue.currentTenant : queue.nextTenant[tenant] == tenant ? NONE : queue.nextTenant[tenant];
+            queue.currentTenant = queue.currentTenant != tenant ? queue.currentTenant
+                    : queue.nextTenant[tenant] == tenant ? NONE : queue.nextTenant[tenant];
             queue.nextTenant[queue.previousTenant[tenant]] = queue.nextTenant[tenant];
             queue.previousTenant[queue.nextTenant[tenant]] = queue.previousTenant[tenant];
         } else {
@@ -379,7 +393,8 @@
     }
 
     private int homeSlot(Queue queue, int tenant, long clientKey) {
-        long hash = (clientKey + queue.index * 31L + tenant) * 0x9E3779B97F4A7C15L; // the key is a seeded hash already
+        // Fibonacci hashing is enough, as the key is a seeded hash already
+        long hash = (clientKey + queue.index * 31L + tenant) * 0x9E3779B97F4A7C15L;
         return (int) (hash >>> 32) & tableMask;
     }
 
@@ -393,7 +408,10 @@
         return NONE;
     }
 
-    /** Takes a flow out of the table and moves up what would not be found behind the gap (Knuth, 6.4, algorithm R). */
+    /**
+     * Removes a flow from the hash table and moves back flows that linear probing wouldn't find behind the gap (Knuth,
+     * The Art of Computer Programming, 6.4, algorithm R).
+     */
     private void removeFromTable(int flow) {
         int gap = homeSlot(flowQueue[flow], flowTenant[flow], flowKey[flow]);
         while (table[gap] != flow) {
