--- a/src/main/java/reedquay/fair/ConcurrencyLimit.java
+++ b/src/main/java/reedquay/fair/ConcurrencyLimit.java
@@ -1,27 +1,28 @@
 package reedquay.fair;
 
 /**
- * How many RPCs one way into a group can have inside, learnt from what becomes of them. Without pressure there is no
- * limit and nothing to learn. No clock: the caller says when.
+ * Adaptive limit on the RPCs of one traffic class that are in flight behind admission control, adjusted by additive
+ * increase and multiplicative decrease from their outcomes. Without overload there is no limit but for bursts, and
+ * nothing is learnt. Reads no clock; times are in nanoseconds and passed in.
  */
 final class ConcurrencyLimit {
     enum State { NORMAL, OVERLOADED }
 
     enum Input {
-        /** An answer came, and what is let in goes on at once. */
+        /** An RPC was answered, and the Router sends admitted RPCs on at once. */
         FAST_ANSWER,
-        /** An answer came, and what is let in has to be held for a part of its soft deadline. */
+        /** An RPC was answered, and the Router holds admitted RPCs for a part of their soft deadline. */
         SLOW_ANSWER,
-        /** A member had no room, or the decisions turned an RPC away for want of it. */
+        /** A member was full, or the Router pushed an RPC back for lack of capacity. */
         REJECTED,
-        /** Far more would be inside than of late: a burst is let in no faster than it shows what it does. */
+        /** Far more RPCs would be in flight than recently: a burst is admitted no faster than its outcomes allow. */
         BURST,
-        /** Nothing waits, and it has been so for a while. */
+        /** Nothing has waited for a while. */
         IDLE
     }
 
-    private static final int BURST_ALLOWANCE = 16; // let in at once whatever is known
-    private static final int MIN_LIMIT = 2; // two can always be inside: one shows what the other can't
+    private static final int BURST_ALLOWANCE = 16; // RPCs admitted at once, however few were in flight before
+    private static final int MIN_LIMIT = 2; // with two in flight, one shows the capacity where the other can't
 
     private interface Condition {
         boolean test(ConcurrencyLimit limit);
@@ -33,17 +34,22 @@
 
     private record Transition(State state, Input input, Condition condition, State nextState, Action action) { }
 
-    private static final Condition ALWAYS = r -> true;
-    private static final Action NO_ACTION = r -> { };
+    private static final Condition ALWAYS = limit -> true;
+    private static final Action NO_ACTION = limit -> { };
 
-    /** The first row whose state, input and condition hold is taken. */
+    /** State transitions. The first row whose state, input and condition match applies. */
     private static final Transition[] TRANSITIONS = {
-        new Transition(State.NORMAL, Input.SLOW_ANSWER, r -> r.inFlight >= MIN_LIMIT, State.OVERLOADED, ConcurrencyLimit::enterOverload),
-        new Transition(State.NORMAL, Input.REJECTED, r -> r.inFlight >= MIN_LIMIT, State.OVERLOADED, ConcurrencyLimit::enterOverload),
+        new Transition(State.NORMAL, Input.SLOW_ANSWER, limit -> limit.inFlight >= MIN_LIMIT, State.OVERLOADED,
+                ConcurrencyLimit::enterOverload),
+        new Transition(State.NORMAL, Input.REJECTED, limit -> limit.inFlight >= MIN_LIMIT, State.OVERLOADED,
+                ConcurrencyLimit::enterOverload),
         new Transition(State.NORMAL, Input.BURST, ALWAYS, State.OVERLOADED, ConcurrencyLimit::enterOverloadByBurst),
-        new Transition(State.OVERLOADED, Input.FAST_ANSWER, ConcurrencyLimit::nearLimit, State.OVERLOADED, ConcurrencyLimit::increase),
-        new Transition(State.OVERLOADED, Input.SLOW_ANSWER, ConcurrencyLimit::mayDecrease, State.OVERLOADED, ConcurrencyLimit::decreaseByEighth),
-        new Transition(State.OVERLOADED, Input.REJECTED, ConcurrencyLimit::mayDecrease, State.OVERLOADED, ConcurrencyLimit::halve),
+        new Transition(State.OVERLOADED, Input.FAST_ANSWER, ConcurrencyLimit::nearLimit, State.OVERLOADED,
+                ConcurrencyLimit::increase),
+        new Transition(State.OVERLOADED, Input.SLOW_ANSWER, ConcurrencyLimit::mayDecrease, State.OVERLOADED,
+                ConcurrencyLimit::decreaseByEighth),
+        new Transition(State.OVERLOADED, Input.REJECTED, ConcurrencyLimit::mayDecrease, State.OVERLOADED,
+                ConcurrencyLimit::halve),
         new Transition(State.OVERLOADED, Input.IDLE, ALWAYS, State.NORMAL, NO_ACTION),
     };
 
@@ -52,13 +58,16 @@
     private long decreasedAt = Long.MIN_VALUE;
     private long now;
     private long serviceTime;
-    private boolean exponentialGrowth; // it has not been cut since a burst began: it doubles instead of growing by one
-    private int peakInFlight; // most inside of late
-    private int previousPeakInFlight; // the same, as of the last window
+    private boolean exponentialGrowth; // from a burst to the first decrease: doubles per round instead of adding one
+    private int peakInFlight; // recent maximum
+    private int previousPeakInFlight; // recent maximum as of the end of the last window
     private int inFlight;
     private long overloadCount;
 
-    /** pace: the usual time of an RPC inside; what was cut shows its effect after that. */
+    /**
+     * Applies an input. usualServiceTime: the usual time from admission to answer; a decrease takes effect after that,
+     * so that there is no further one before.
+     */
     void observe(Input input, long observedAt, long usualServiceTime) {
         now = observedAt;
         serviceTime = usualServiceTime;
@@ -73,8 +82,10 @@
 
     boolean overloaded() { return state == State.OVERLOADED; }
 
-    /** Whether one more may go in. */
-    boolean hasCapacity() { return inFlight < (state == State.NORMAL ? 4 * previousPeakInFlight + BURST_ALLOWANCE : (int) limit); }
+    /** Whether one more RPC may be admitted. Without overload a burst may reach a multiple of the recent maximum. */
+    boolean hasCapacity() {
+        return inFlight < (state == State.NORMAL ? 4 * previousPeakInFlight + BURST_ALLOWANCE : (int) limit);
+    }
 
     void acquire() {
         inFlight++;
@@ -85,18 +96,18 @@
 
     int inFlight() { return inFlight; }
 
-    /** A window has ended: what was inside at most counts for less as time goes. */
+    /** Ends a window; the recent maximum decays by a quarter per window. */
     void closeWindow() {
         previousPeakInFlight = peakInFlight;
         peakInFlight = Math.max(inFlight, peakInFlight - peakInFlight / 4);
     }
 
-    /** How many may be inside while it is pressed. */
+    /** The number of RPCs that may be in flight while overloaded. */
     double current() { return limit; }
 
     private boolean nearLimit() { return inFlight + 1 >= (int) limit; }
 
-    /** How often it came under pressure. */
+    /** How often it has become overloaded. */
     long overloadCount() { return overloadCount; }
 
     private void enterOverload() {
