--- a/src/main/java/reedquay/fair/RetryReservations.java
+++ b/src/main/java/reedquay/fair/RetryReservations.java
@@ -3,27 +3,28 @@
 import java.util.Arrays;
 
 /**
- * When those who were turned away are told to come back, and who has come as told. A calendar says how many are told
- * to come in each step of time, never more than a part of what is served in it, so that they do not land together and
- * find their turn; a client has one time on each way, for a few of its RPCs. All is fixed at the start: a promise that
- * finds no place is not made, and nothing is told. Clients are 64-bit keys. One thread; no clock.
+ * Reservations behind the retry-after that pushed-back clients are given, and whether a client has come at its time. A
+ * schedule counts the reservations in each time slot and keeps them below a part of the RPCs that can be served in it,
+ * so that retries don't arrive together and are admitted. A client has one reservation in each schedule, for a few of
+ * its RPCs. All memory is allocated at construction: where the table has no free place, there is no reservation and no
+ * retry-after. Clients are 64-bit keys. Times are in nanoseconds. Single-threaded; reads no clock.
  */
 final class RetryReservations {
-    private static final int MAX_PROBE_LENGTH = 8; // places in the table that one client can have
-    private static final int MAX_RPCS_PER_CLIENT = 4; // RPCs of one client that are told the same time
+    private static final int MAX_PROBE_LENGTH = 8; // table places that are searched for a client
+    private static final int MAX_RPCS_PER_CLIENT = 4; // RPCs of one client that share a reservation
     private final long slotWidth;
     private final long maxRetryAfter;
     private final long lateTolerance;
     private final int slotCount;
     private final long[] clientKeys;
-    private final long[] dueAt; // when it was told to come; 0: a free place
+    private final long[] dueAt; // 0 for a free place
     private final int[] scheduleIndex;
-    private final byte[] outstanding; // for how many of the client's RPCs
-    private long latestDueAt = Long.MIN_VALUE; // the furthest that was told
+    private final byte[] outstanding; // RPCs of the client that have yet to redeem the reservation
+    private long latestDueAt = Long.MIN_VALUE; // of all reservations ever made
 
     /**
-     * step: the calendar's unit; longest: the furthest that can be told; late: how much later one that was told
-     * may come, no sooner; most: promises at a time. Nanoseconds.
+     * slotWidth: the length of a time slot; maxRetryAfter: the longest retry-after; lateTolerance: how much later than
+     * its time a client may come (it may not come earlier); maxReservations: the number of reservations at a time.
      */
     RetryReservations(long slotWidth, long maxRetryAfter, long lateTolerance, int maxReservations) {
         this.lateTolerance = lateTolerance;
@@ -39,14 +40,14 @@
 
     long memoryBytes() { return clientKeys.length * 21L; }
 
-    /** Whether anybody may still come as told. */
+    /** Whether there may be a reservation that can still be redeemed. */
     boolean mayHaveOutstanding(long now) { return now - maxRetryAfter <= latestDueAt; }
 
-    /** The calendar of one way: how many come in each step. */
+    /** The schedule of one traffic class: the number of reservations in each time slot. */
     final class Schedule {
         private final int index;
         private final int[] reservedInSlot = new int[slotCount];
-        private long oldestSlot; // the step that told[from % steps] is of; older ones are cleared as time goes
+        private long oldestSlot; // the current slot at the last call of advance; earlier ones are cleared
 
         Schedule(int index) { this.index = index; }
 
@@ -63,9 +64,10 @@
         }
 
         /**
-         * After how long the client is to come: no sooner than the wait, by a rate of RPCs a second at which what is
-         * promised can be served. 0 where no honest time can be told. A time it was told stands, and is told to a few
-         * more of its RPCs as long as they can be served too: which of them came before, by themselves, is not known.
+         * Reserves a time for a client and returns the retry-after: no shorter than minDelay, in a slot where
+         * rpcsPerSecond allows another reservation. 0 where none can be kept. An existing reservation stays, and is
+         * given to a few more RPCs of the client as long as its slot allows; which of its RPCs had it before isn't
+         * known.
          */
         long reserve(long clientKey, long now, long minDelay, double rpcsPerSecond) {
             if (maxRetryAfter <= 0) {
@@ -75,7 +77,8 @@
             if (existing >= 0 && dueAt[existing] > now) {
                 advance(now);
                 int slotIndex = (int) (dueAt[existing] / slotWidth % slotCount);
-                if (outstanding[existing] >= MAX_RPCS_PER_CLIENT || reservedInSlot[slotIndex] >= (int) (rpcsPerSecond * slotWidth / 1e9)) {
+                if (outstanding[existing] >= MAX_RPCS_PER_CLIENT
+                        || reservedInSlot[slotIndex] >= (int) (rpcsPerSecond * slotWidth / 1e9)) {
                     return 0;
                 }
                 reservedInSlot[slotIndex]++;
@@ -83,16 +86,18 @@
                 return dueAt[existing] - now;
             }
             if (existing >= 0 && now - lateTolerance <= dueAt[existing]) {
-                return 0; // those that were told may be just about to come
+                return 0; // the RPCs that hold the reservation may be about to arrive
             }
             int target = existing >= 0 ? existing : findFree(clientKey, index, now);
             advance(now);
             int maxPerSlot = (int) (rpcsPerSecond * slotWidth / 1e9);
             long jitter = (clientKey ^ now) * 0x9E3779B97F4A7C15L >>> 33;
-            for (long slot = (now + Math.max(minDelay, slotWidth)) / slotWidth; target >= 0 && (slot + 1) * slotWidth <= now + maxRetryAfter; slot++) {
+            for (long slot = (now + Math.max(minDelay, slotWidth)) / slotWidth;
+                    target >= 0 && (slot + 1) * slotWidth <= now + maxRetryAfter; slot++) {
                 int reserved = reservedInSlot[(int) (slot % slotCount)];
-                // below one a step, some steps have one
-                boolean takesSingle = maxPerSlot == 0 && reserved == 0 && (slot * slotWidth / 1e9 * rpcsPerSecond) % 1 + rpcsPerSecond * slotWidth / 1e9 >= 1;
+                // at a rate below one RPC per slot, every so many slots take one
+                boolean takesSingle = maxPerSlot == 0 && reserved == 0
+                        && (slot * slotWidth / 1e9 * rpcsPerSecond) % 1 + rpcsPerSecond * slotWidth / 1e9 >= 1;
                 if (reserved < maxPerSlot || takesSingle) {
                     reservedInSlot[(int) (slot % slotCount)]++;
                     clientKeys[target] = clientKey;
@@ -106,14 +111,18 @@
             return 0;
         }
 
-        /** Another would tell it to come after so long: kept too, as far as there is a place. What it is told. */
+        /**
+         * Records a retry-after that the Router chose as a reservation where the table has a place, without a limit by
+         * slot. Returns the retry-after to give: that of the client's existing reservation where there is one to share.
+         */
         long record(long clientKey, long now, long retryAfter) {
             int existing = findReservation(clientKey, index);
             if (existing >= 0 && dueAt[existing] > now && outstanding[existing] < MAX_RPCS_PER_CLIENT) {
                 outstanding[existing]++;
                 return dueAt[existing] - now;
             }
-            int target = existing >= 0 && now - lateTolerance <= dueAt[existing] ? -1 : existing >= 0 ? existing : findFree(clientKey, index, now);
+            int target = existing >= 0 && now - lateTolerance <= dueAt[existing] ? -1
+                    : existing >= 0 ? existing : findFree(clientKey, index, now);
             if (target >= 0) {
                 clientKeys[target] = clientKey;
                 scheduleIndex[target] = index;
@@ -124,7 +133,7 @@
             return retryAfter;
         }
 
-        /** Whether the client was told to come now; kept once for each. */
+        /** Whether the client has a reservation for now; consumes it for one RPC. */
         boolean redeem(long clientKey, long now) {
             int position = findReservation(clientKey, index);
             if (position < 0 || dueAt[position] > now || now - lateTolerance > dueAt[position]) {
@@ -134,7 +143,7 @@
             return true;
         }
 
-        /** Whether it was told to come later than now. */
+        /** Whether the client has a reservation for later than now. */
         boolean isEarly(long clientKey, long now) {
             int position = findReservation(clientKey, index);
             return position >= 0 && dueAt[position] > now;
@@ -145,6 +154,7 @@
         return (int) ((clientKey + schedule) * 0x9E3779B97F4A7C15L >>> 32) + offset & clientKeys.length - 1;
     }
 
+    /** The client's place in the table; -1 where it has none. */
     private int findReservation(long clientKey, int schedule) {
         for (int i = 0; i < MAX_PROBE_LENGTH; i++) {
             int position = tableIndex(clientKey, schedule, i);
@@ -155,7 +165,7 @@
         return -1;
     }
 
-    /** A place that is free, or whose promise has lapsed. */
+    /** A place that is free or whose reservation has expired; -1 where there is none. */
     private int findFree(long clientKey, int schedule, long now) {
         for (int i = 0; i < MAX_PROBE_LENGTH; i++) {
             int position = tableIndex(clientKey, schedule, i);
