--- a/src/main/java/reedquay/fair/AdmissionEntry.java
+++ b/src/main/java/reedquay/fair/AdmissionEntry.java
@@ -2,27 +2,27 @@
 
 import reedquay.core.Rpc;
 
-/** An RPC at the door or inside. */
+/** State of one RPC in admission control, from its arrival to its final answer. Times are in nanoseconds. */
 final class AdmissionEntry {
     final Rpc rpc;
-    final TrafficClass trafficClass;
-    final FairScheduler.Queue queue; // null where the way in is not known
-    final int tenant;
+    final TrafficClass trafficClass; // null for an unknown group or method
+    final FairScheduler.Queue queue; // null where there is no traffic class
+    final int tenant; // index
     final long arrivedAt;
     AdmissionController.State state = AdmissionController.State.NEW;
-    long clientKey; // of its client
-    long cost; // work it is expected to be, in nanoseconds
-    double utilityPerWork; // its utility for that work
-    boolean reserved; // it came when it was told
-    long expiresAt; // when it can no longer be answered in time, or a part of its time is gone
-    long admittedAt; // when it was let in
-    boolean sampled; // measured, though there is no pressure
-    boolean forwarded; // the Router knows of it
-    boolean heldByRouter; // the Router had to wait before the first call-out
-    boolean calledOut; // a call-out of it has gone
-    int entryIndex = FairScheduler.NONE; // Flows' own
+    long clientKey; // seeded hash of the client's id
+    long cost; // expected work in nanoseconds; 0 before it is estimated
+    double utilityPerWork;
+    boolean reserved; // it arrived at the retry-after that its client was given
+    long expiresAt; // when it can no longer be answered in time, or half of the time to its deadline has passed
+    long admittedAt;
+    boolean sampled; // its times are recorded even without overload
+    boolean forwarded; // passed on to the Router
+    boolean heldByRouter; // the Router delayed the first call-out
+    boolean calledOut; // the first call-out was sent
+    int entryIndex = FairScheduler.NONE; // used by FairScheduler alone, as is the next
     int flowIndex = FairScheduler.NONE;
-    AdmissionEntry wheelNext; // the wheel's own
+    AdmissionEntry wheelNext; // links and slot in the timer wheel
     AdmissionEntry wheelPrevious;
     int wheelSlot = -1;
 
--- a/src/main/java/reedquay/fair/TrafficClass.java
+++ b/src/main/java/reedquay/fair/TrafficClass.java
@@ -2,22 +2,22 @@
 
 import reedquay.core.Latency;
 
-/** One way into a group, reads or writes: its queue, room, rate and calendar. */
+/** The reads or the writes of one group: their queue, concurrency limit, service rate and retry-after schedule. */
 final class TrafficClass {
     final FairScheduler.Queue queue;
     final ConcurrencyLimit concurrencyLimit = new ConcurrencyLimit();
     final RetryReservations.Schedule schedule;
-    final Latency holdTimes; // how long the Router held what was let in, as if its soft deadline were the shortest
-    final Latency serviceTimes; // time inside
-    private final long window;
+    final Latency holdTimes; // from admission to first call-out, scaled to the shortest soft deadline
+    final Latency serviceTimes; // from admission to answer
+    private final long window; // nanoseconds
     private long windowStartedAt;
-    private double servedRpcs; // in this window, RPCs
-    private double servedWork; // and their work
+    private double servedRpcs; // in this window
+    private double servedWork; // in this window, in nanoseconds
     private double rpcsPerSecond; // smoothed
-    private double workPerSecond;
-    private boolean saturated; // something waited or was turned away in this window: what is served is what can be
-    long lastOkAt = Long.MIN_VALUE; // the last answer that was ok
-    long lastQueuedAt = Long.MIN_VALUE; // when something waited last
+    private double workPerSecond; // smoothed
+    private boolean saturated; // RPCs waited or were pushed back in this window, so that it shows the capacity
+    long lastOkAt = Long.MIN_VALUE; // time of the last ok answer
+    long lastQueuedAt = Long.MIN_VALUE; // when an RPC was last queued or rejected
 
     TrafficClass(FairScheduler.Queue queue, RetryReservations.Schedule schedule, long timeUnit, long window) {
         this.queue = queue;
@@ -27,7 +27,10 @@
         serviceTimes = new Latency(timeUnit);
     }
 
-    /** Closes the window that has ended. What is served without pressure says nothing of what could be. */
+    /**
+     * Ends the window if its time is over. The rates are updated only from saturated windows; what is served without
+     * overload doesn't show what could be served.
+     */
     void closeWindow(long now) {
         long elapsed = now - windowStartedAt;
         if (elapsed < window) {
@@ -35,7 +38,8 @@
         }
         if (elapsed < 2 * window && saturated) {
             double seconds = elapsed / 1e9;
-            double smoothing = rpcsPerSecond == 0 || servedRpcs / seconds < rpcsPerSecond / 2 ? 1 : 0.5; // a loss is believed at once
+            // a drop of the rate below half applies at once
+            double smoothing = rpcsPerSecond == 0 || servedRpcs / seconds < rpcsPerSecond / 2 ? 1 : 0.5;
             rpcsPerSecond += (servedRpcs / seconds - rpcsPerSecond) * smoothing;
             workPerSecond += (servedWork / seconds - workPerSecond) * smoothing;
         }
@@ -52,12 +56,15 @@
 
     void markSaturated() { saturated = true; }
 
-    /** RPCs a second, as seen under pressure, or by those inside where none has been seen. */
+    /** RPCs per second as measured under overload; before that, the concurrency limit over the service time. */
     double rpcRate(long serviceTime) {
         return rpcsPerSecond > 0 ? rpcsPerSecond : concurrencyLimit.current() * 1e9 / Math.max(1, serviceTime);
     }
 
-    /** Work a second, in nanoseconds of it; the cost is what one RPC is taken to be where nothing has been seen. */
+    /**
+     * Nanoseconds of work per second as measured under overload; before that, the RPC rate times cost, the assumed work
+     * of one RPC.
+     */
     double workRate(long serviceTime, long cost) {
         return workPerSecond > 0 ? workPerSecond : rpcRate(serviceTime) * cost;
     }
