--- a/src/main/java/reedquay/fair/HeavyHitters.java
+++ b/src/main/java/reedquay/fair/HeavyHitters.java
@@ -6,15 +6,16 @@
 import reedquay.core.Rpc;
 
 /**
- * The clients that ask for most work, by Space-Saving (Metwally, Agrawal and El Abbadi 2005): a fixed number of them,
- * each with a count that is too high by no more than its error. Whoever asks for more than the whole divided by that
- * number is among them. Halved now and then, so that it tells of late. One thread.
+ * The clients that ask for most work, by the Space-Saving algorithm (Metwally, Agrawal and El Abbadi 2005): a fixed
+ * number of clients, each with a count that is too high by no more than its error. A client that asks for more than the
+ * total divided by that number is among them. The counts are halved periodically, so that they reflect recent work.
+ * Single-threaded.
  */
 final class HeavyHitters {
     private final long[] clientKeys;
     private final String[] names;
-    private final long[] work;
-    private final long[] errors;
+    private final long[] work; // nanoseconds, may be too high
+    private final long[] errors; // the most by which work may be too high
     private final long[] pushbacks;
     private int used;
 
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Name, work, the most that it may be too high by, pushed back; the heaviest first. */
+    /** Rows of name, work in ms, its maximum error in ms and number of pushbacks; the heaviest client first. */
     List<String[]> rows() {
         List<Integer> order = new ArrayList<>();
         for (int i = 0; i < used; i++) {
