--- a/src/test/java/reedquay/fair/AdmissionControllerTest.java
+++ b/src/test/java/reedquay/fair/AdmissionControllerTest.java
@@ -23,17 +23,23 @@
 import reedquay.core.Settings;
 import reedquay.core.Stage;
 
-/** The door alone: behind it decisions that hold what they get until the test says, before it a plain record. */
+/**
+ * AdmissionController by itself, between a routing engine that holds each RPC until the test answers it and a front
+ * that records the actions.
+ */
 class AdmissionControllerTest {
     private static final long MS = 1_000_000;
     private static final Method READ = method("read", Method.Consistency.ANY, Method.RetrySafety.IDEMPOTENT, 0);
-    private static final Method WRITE = method("write", Method.Consistency.WRITE, Method.RetrySafety.NON_IDEMPOTENT, 0.5);
+    private static final Method WRITE = method("write", Method.Consistency.WRITE, Method.RetrySafety.NON_IDEMPOTENT,
+            0.5);
 
-    private static Method method(String name, Method.Consistency need, Method.RetrySafety effect, double late) {
-        return new Method(name, need, 0, 400 * MS, 1500 * MS, 1, late, effect, Method.DeduplicationScope.ALL, 0);
+    private static Method method(String name, Method.Consistency consistency, Method.RetrySafety retrySafety,
+            double lateUtilityShare) {
+        return new Method(name, consistency, 0, 400 * MS, 1500 * MS, 1, lateUtilityShare, retrySafety,
+                Method.DeduplicationScope.ALL, 0);
     }
 
-    /** The world on both sides of a door. */
+    /** A front for the controller, with a clock and an alarm that the test advances. */
     private static final class Harness extends Stage implements RoutingEngine {
         final AdmissionController controller;
         final Member member = new Member("m");
@@ -45,22 +51,22 @@
         long alarmAt = Long.MAX_VALUE;
         long lastId;
 
-        Harness(int waiting) {
+        Harness(int maxWaiting) {
             super(null);
             Settings settings = new Settings(3, "a", 0, 1, 5 * MS, List.of(READ, WRITE),
                     List.of(new Settings.Tenant("acme", 10)),
                     new Settings.Capabilities(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
                     new Settings.Rules(0.25, 10_000 * MS, 3, 1000 * MS, 500 * MS, 20 * MS, 10_000 * MS, false),
                     new Settings.PositionSources(true, false, true, false, false), new Settings.Costs(0, 0, 0, 0, 0));
-            controller = new AdmissionController(settings, new AdmissionSettings(waiting, Map.of()), this);
-            controller.setNext(new HoldingDecider(this));
-            batch(() -> controller.membersListed(ListedMember.ListKind.FULL,
+            controller = new AdmissionController(settings, new AdmissionSettings(maxWaiting, Map.of()), this);
+            controller.setNext(new HoldingEngine(this));
+            runBatch(() -> controller.membersListed(ListedMember.ListKind.FULL,
                     List.of(new ListedMember(member, "a", "s", 1, ListedMember.Phase.UP, true, 1, 0))));
         }
 
-        void batch(Runnable what) {
+        void runBatch(Runnable input) {
             controller.beginBatch(now);
-            what.run();
+            input.run();
             controller.endBatch();
         }
 
@@ -69,37 +75,37 @@
             while (alarmAt <= until) {
                 now = Math.max(now, alarmAt);
                 alarmAt = Long.MAX_VALUE;
-                batch(() -> { });
+                runBatch(() -> { });
             }
             now = until;
         }
 
-        Rpc arrive(String caller, Method method, long wait) {
-            Rpc rpc = new Rpc(++lastId, 1, null, now + wait * MS, false, 0, "acme", method);
-            rpc.clientId = caller;
+        Rpc arrive(String clientId, Method method, long timeoutMillis) {
+            Rpc rpc = new Rpc(++lastId, 1, null, now + timeoutMillis * MS, false, 0, "acme", method);
+            rpc.clientId = clientId;
             arrivedAt.put(rpc, now);
-            batch(() -> controller.rpcArrived(rpc));
+            runBatch(() -> controller.rpcArrived(rpc));
             return rpc;
         }
 
         void answerOk(Rpc rpc) {
             assertTrue(admitted.remove(rpc));
-            CallOut call = rpc.callOuts.get(0);
-            call.ended = rpc.ended = true;
-            batch(() -> controller.callOutEnded(call, Outcome.OK, now - call.sentAt, true, LoadReport.NO_POSITION, Role.UNKNOWN,
-                    LoadReport.NONE));
+            CallOut callOut = rpc.callOuts.get(0);
+            callOut.ended = rpc.ended = true;
+            runBatch(() -> controller.callOutEnded(callOut, Outcome.OK, now - callOut.sentAt, true,
+                    LoadReport.NO_POSITION, Role.UNKNOWN, LoadReport.NONE));
         }
 
-        void reportMemberFull(Rpc rpc) { // a member has no room: the first sign of pressure
-            batch(() -> controller.callOutEnded(rpc.callOuts.get(0), Outcome.FULL, MS, false, LoadReport.NO_POSITION, Role.UNKNOWN,
-                    LoadReport.NONE));
+        void reportMemberFull(Rpc rpc) { // the first sign of overload
+            runBatch(() -> controller.callOutEnded(rpc.callOuts.get(0), Outcome.FULL, MS, false,
+                    LoadReport.NO_POSITION, Role.UNKNOWN, LoadReport.NONE));
         }
 
         long waiting() {
             return controller.statisticsTable("ways").stream().skip(1).mapToLong(r -> Long.parseLong(r[4])).sum();
         }
 
-        /** Pressed, with four inside at the most and nothing waiting. */
+        /** Makes both traffic classes overloaded, each with four RPCs admitted and none waiting. */
         Harness overloaded() {
             for (int i = 0; i < 4; i++) {
                 arrive("first" + i, READ, 1500);
@@ -111,48 +117,50 @@
 
         @Override public void sendCallOut(CallOut callOut, long limit) { }
 
-        @Override public void pushBack(Rpc rpc, long after) {
-            assertFalse(rpc.ended, "one final answer");
-            assertTrue(rpc.callOuts.isEmpty(), "what waits has never run");
+        @Override public void pushBack(Rpc rpc, long retryAfter) {
+            assertFalse(rpc.ended, "rule 1: each RPC gets exactly one final answer");
+            assertTrue(rpc.callOuts.isEmpty(), "an RPC that waits has never been sent to a member");
             rpc.ended = true;
-            pushedBack.put(rpc, after);
+            pushedBack.put(rpc, retryAfter);
             long waited = now - arrivedAt.get(rpc);
-            assertTrue(waited <= (rpc.deadline - arrivedAt.get(rpc)) / 2, () -> "half of its time is gone: " + waited + " of "
-                    + (rpc.deadline - arrivedAt.get(rpc)));
+            assertTrue(waited <= (rpc.deadline - arrivedAt.get(rpc)) / 2, () -> "pushed back after " + waited
+                    + " ns, more than half of " + (rpc.deadline - arrivedAt.get(rpc)));
         }
 
-        @Override public void scheduleWakeUp(long delay) { alarmAt = now + delay / 1000 * 1000; } // the last word counts
+        // the last call counts; in whole microseconds, so that an alarm can be early
+        @Override public void scheduleWakeUp(long delay) { alarmAt = now + delay / 1000 * 1000; }
 
         @Override public void log(String line) { }
     }
 
-    /** Calls each RPC out at once and holds it. */
-    private static final class HoldingDecider implements RoutingEngine {
+    /** Sends a call-out for each RPC at once and leaves it open. */
+    private static final class HoldingEngine implements RoutingEngine {
         private final Harness harness;
 
-        HoldingDecider(Harness desk) { this.harness = desk; }
+        HoldingEngine(Harness harness) { this.harness = harness; }
 
         @Override public void beginBatch(long now) { }
 
         @Override public void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) { }
 
         @Override public void rpcArrived(Rpc rpc) {
-            assertFalse(rpc.ended, "nothing goes in after its answer");
+            assertFalse(rpc.ended, "an RPC was admitted after its final answer");
             harness.admitted.add(rpc);
             harness.everAdmitted.add(rpc);
-            CallOut call = new CallOut(rpc, harness.member, harness.now);
-            rpc.callOuts.add(call);
-            ((RoutingActions) harness.controller).sendCallOut(call, 0);
+            CallOut callOut = new CallOut(rpc, harness.member, harness.now);
+            rpc.callOuts.add(callOut);
+            ((RoutingActions) harness.controller).sendCallOut(callOut, 0);
         }
 
-        @Override public void callOutEnded(CallOut c, Outcome o, long took, boolean ended, long p, Role r, LoadReport report) { }
+        @Override public void callOutEnded(CallOut callOut, Outcome outcome, long took, boolean ended, long position,
+                Role role, LoadReport report) { }
 
         @Override public void connectionReady(CallOut callOut) { }
 
         @Override public void probeEnded(Member m, Outcome outcome, long took, LoadReport report) { }
 
         @Override public void clientGone(Rpc rpc) {
-            assertTrue(harness.everAdmitted.contains(rpc), "the Router knows nothing of what only waited");
+            assertTrue(harness.everAdmitted.contains(rpc), "the Router doesn't know RPCs that only waited");
             harness.admitted.remove(rpc);
         }
 
@@ -160,122 +168,125 @@
     }
 
     @Test void admitsEverythingWithoutOverload() {
-        Harness d = new Harness(50);
+        Harness harness = new Harness(50);
         for (int i = 0; i < 1000; i++) {
-            d.answerOk(d.arrive("c" + i, i % 2 == 0 ? READ : WRITE, 1500));
-            d.advance(1);
+            harness.answerOk(harness.arrive("c" + i, i % 2 == 0 ? READ : WRITE, 1500));
+            harness.advance(1);
         }
-        assertEquals(1000, d.everAdmitted.size());
-        assertEquals(0, d.waiting());
+        assertEquals(1000, harness.everAdmitted.size());
+        assertEquals(0, harness.waiting());
     }
 
     @Test void admitsWaitingRpcsOnFreeCapacityOrPushesThemBackWithinHalfTheirTime() {
-        Harness d = new Harness(50).overloaded();
-        Rpc one = d.arrive("a", READ, 1500);
-        Rpc two = d.arrive("b", READ, 1500);
-        assertEquals(2, d.waiting());
-        while (!d.everAdmitted.contains(one)) {
-            d.answerOk(d.admitted.stream().filter(r -> r.method == READ).findFirst().get());
+        Harness harness = new Harness(50).overloaded();
+        Rpc first = harness.arrive("a", READ, 1500);
+        Rpc second = harness.arrive("b", READ, 1500);
+        assertEquals(2, harness.waiting());
+        while (!harness.everAdmitted.contains(first)) {
+            harness.answerOk(harness.admitted.stream().filter(r -> r.method == READ).findFirst().get());
         }
-        while (d.everAdmitted.contains(two)) { // both may have found room: one more waits
-            two = d.arrive("b" + d.lastId, READ, 1500);
+        while (harness.everAdmitted.contains(second)) { // both may have been admitted; another one waits
+            second = harness.arrive("b" + harness.lastId, READ, 1500);
         }
-        d.advance(400);
-        assertTrue(d.pushedBack.containsKey(two), "it can no longer be in time");
-        assertTrue(d.pushedBack.get(two) > 0, "and is told when to come");
-        Rpc hasty = d.arrive("c", READ, 100);
-        d.advance(50);
-        assertTrue(d.pushedBack.containsKey(hasty), "of a client that waits for less, half of that");
+        harness.advance(400);
+        assertTrue(harness.pushedBack.containsKey(second), "pushed back when it can no longer be answered in time");
+        assertTrue(harness.pushedBack.get(second) > 0, "the pushback has a retry-after");
+        Rpc shortTimeout = harness.arrive("c", READ, 100);
+        harness.advance(50);
+        assertTrue(harness.pushedBack.containsKey(shortTimeout), "pushed back within half of a short timeout");
     }
 
     @Test void removesWaitingRpcWhoseClientLeaves() {
-        Harness d = new Harness(50).overloaded();
-        Rpc gone = d.arrive("a", WRITE, 1500);
-        Rpc stays = d.arrive("b", WRITE, 1500);
-        gone.ended = true;
-        d.batch(() -> d.controller.clientGone(gone));
-        assertEquals(1, d.waiting());
-        while (!d.everAdmitted.contains(stays)) {
-            d.answerOk(d.admitted.stream().filter(r -> r.method == WRITE).findFirst().get());
+        Harness harness = new Harness(50).overloaded();
+        Rpc abandoned = harness.arrive("a", WRITE, 1500);
+        Rpc remaining = harness.arrive("b", WRITE, 1500);
+        abandoned.ended = true;
+        harness.runBatch(() -> harness.controller.clientGone(abandoned));
+        assertEquals(1, harness.waiting());
+        while (!harness.everAdmitted.contains(remaining)) {
+            harness.answerOk(harness.admitted.stream().filter(r -> r.method == WRITE).findFirst().get());
         }
-        assertFalse(d.everAdmitted.contains(gone));
+        assertFalse(harness.everAdmitted.contains(abandoned));
     }
 
-    /** A stop makes all due soon: what waits is answered in time, not kept. */
+    /** A shutdown shortens deadlines: waiting RPCs must still be answered in time, rather than kept in the queue. */
     @Test void answersWaitingRpcsInTimeAtShutdown() {
-        Harness d = new Harness(50).overloaded();
-        List<Rpc> last = new ArrayList<>();
+        Harness harness = new Harness(50).overloaded();
+        List<Rpc> rpcs = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            last.add(d.arrive("c" + i, WRITE, i % 2 == 0 ? 60 : 3000));
+            rpcs.add(harness.arrive("c" + i, WRITE, i % 2 == 0 ? 60 : 3000));
         }
-        last.stream().filter(r -> !r.ended && r.deadline > d.now + 60 * MS).forEach(r -> {
-            r.deadline = d.now + 60 * MS;
-            d.batch(() -> d.controller.deadlineShortened(r));
+        rpcs.stream().filter(r -> !r.ended && r.deadline > harness.now + 60 * MS).forEach(r -> {
+            r.deadline = harness.now + 60 * MS;
+            harness.runBatch(() -> harness.controller.deadlineShortened(r));
         });
-        d.advance(61);
-        assertTrue(last.stream().allMatch(r -> r.ended || d.everAdmitted.contains(r)));
-        assertEquals(0, d.waiting());
+        harness.advance(61);
+        assertTrue(rpcs.stream().allMatch(r -> r.ended || harness.everAdmitted.contains(r)));
+        assertEquals(0, harness.waiting());
     }
 
-    /** Clients that share a key now share none after the seed has changed; what waits keeps its order and place. */
+    /** A new seed separates clients that shared a key; waiting RPCs keep their order and places. */
     @Test void changesHashSeedWhileRpcsWait() {
-        Harness d = new Harness(200).overloaded();
+        Harness harness = new Harness(200).overloaded();
         Set<Long> keys = new HashSet<>();
-        List<Rpc> waits = new ArrayList<>();
+        List<Rpc> rpcs = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            waits.add(d.arrive("c" + i, WRITE, 60_000));
+            rpcs.add(harness.arrive("c" + i, WRITE, 60_000));
         }
-        waits.forEach(r -> keys.add(((AdmissionEntry) r.filterState).clientKey));
+        rpcs.forEach(r -> keys.add(((AdmissionEntry) r.filterState).clientKey));
         assertEquals(100, keys.size());
-        d.now += 64 * 400 * MS;
-        d.alarmAt = Long.MAX_VALUE;
-        for (Rpc r : waits) { // nobody is late for this
+        harness.now += 64 * 400 * MS;
+        harness.alarmAt = Long.MAX_VALUE;
+        for (Rpc r : rpcs) { // none expires here
             ((AdmissionEntry) r.filterState).expiresAt += 1_000_000 * MS;
         }
-        long before = d.waiting();
-        d.batch(() -> { });
-        waits.stream().filter(r -> !r.ended && !d.everAdmitted.contains(r))
-                .forEach(r -> assertTrue(keys.add(((AdmissionEntry) r.filterState).clientKey), "another key"));
-        assertEquals(before, d.waiting() + d.pushedBack.size());
+        long waitingBefore = harness.waiting();
+        harness.runBatch(() -> { });
+        rpcs.stream().filter(r -> !r.ended && !harness.everAdmitted.contains(r))
+                .forEach(r -> assertTrue(keys.add(((AdmissionEntry) r.filterState).clientKey),
+                        "a new key for each client"));
+        assertEquals(waitingBefore, harness.waiting() + harness.pushedBack.size());
     }
 
-    /** On generated inputs: each RPC goes in once, is pushed back once, or its client left; places never leak. */
+    /** On generated inputs each RPC is admitted once, pushed back once, or its client leaves; no place is leaked. */
     @Test void endsEachRpcExactlyOnce() {
         for (int seed = 0; seed < 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Harness d = new Harness(1 + random.nextInt(40)).overloaded();
-            List<Rpc> all = new ArrayList<>();
-            Set<Rpc> left = new HashSet<>();
+            Harness harness = new Harness(1 + random.nextInt(40)).overloaded();
+            List<Rpc> rpcs = new ArrayList<>();
+            Set<Rpc> abandoned = new HashSet<>();
             for (int i = 0; i < 5000; i++) {
-                d.advance(random.nextInt(6));
-                int what = random.nextInt(10);
-                if (what < 6) {
-                    all.add(d.arrive("c" + random.nextInt(30), random.nextBoolean() ? READ : WRITE,
+                harness.advance(random.nextInt(6));
+                int action = random.nextInt(10);
+                if (action < 6) {
+                    rpcs.add(harness.arrive("c" + random.nextInt(30), random.nextBoolean() ? READ : WRITE,
                             20 + random.nextInt(1500)));
-                } else if (what < 8 && !d.admitted.isEmpty()) {
-                    d.answerOk(d.admitted.get(random.nextInt(d.admitted.size())));
-                } else if (what == 8 && !d.admitted.isEmpty()) {
-                    d.reportMemberFull(d.admitted.get(random.nextInt(d.admitted.size())));
-                } else if (!all.isEmpty()) {
-                    Rpc rpc = all.get(random.nextInt(all.size()));
+                } else if (action < 8 && !harness.admitted.isEmpty()) {
+                    harness.answerOk(harness.admitted.get(random.nextInt(harness.admitted.size())));
+                } else if (action == 8 && !harness.admitted.isEmpty()) {
+                    harness.reportMemberFull(harness.admitted.get(random.nextInt(harness.admitted.size())));
+                } else if (!rpcs.isEmpty()) {
+                    Rpc rpc = rpcs.get(random.nextInt(rpcs.size()));
                     if (!rpc.ended) {
                         rpc.ended = true;
-                        left.add(rpc);
-                        d.batch(() -> d.controller.clientGone(rpc));
+                        abandoned.add(rpc);
+                        harness.runBatch(() -> harness.controller.clientGone(rpc));
                     }
                 }
             }
-            d.advance(2000);
-            while (!d.admitted.isEmpty()) {
-                d.answerOk(d.admitted.get(0));
+            harness.advance(2000);
+            while (!harness.admitted.isEmpty()) {
+                harness.answerOk(harness.admitted.get(0));
             }
-            assertEquals(0, d.waiting(), "seed " + seed);
-            for (Rpc rpc : all) {
+            assertEquals(0, harness.waiting(), "seed " + seed);
+            for (Rpc rpc : rpcs) {
                 assertTrue(rpc.ended, "seed " + seed);
-                assertFalse(d.pushedBack.containsKey(rpc) && d.everAdmitted.contains(rpc), "seed " + seed);
-                assertTrue(d.pushedBack.containsKey(rpc) || d.everAdmitted.contains(rpc) || left.contains(rpc), "seed " + seed);
+                assertFalse(harness.pushedBack.containsKey(rpc) && harness.everAdmitted.contains(rpc), "seed " + seed);
+                assertTrue(harness.pushedBack.containsKey(rpc) || harness.everAdmitted.contains(rpc)
+                        || abandoned.contains(rpc), "seed " + seed);
             }
-            assertTrue(d.controller.statisticsTable("ways").stream().skip(1).allMatch(r -> r[3].equals("0")), "all have left");
+            assertTrue(harness.controller.statisticsTable("ways").stream().skip(1).allMatch(r -> r[3].equals("0")),
+                    "no RPC is in flight");
         }
     }
 }
