--- a/src/test/java/reedquay/fair/FairSchedulerTest.java
+++ b/src/test/java/reedquay/fair/FairSchedulerTest.java
@@ -11,12 +11,14 @@
 import org.junit.jupiter.api.Test;
 import reedquay.core.Rpc;
 
-/** The arrays of what waits beside a slow plain model of lists and maps, on generated inputs. */
+/** FairScheduler against a slow reference model of lists on generated inputs, and its fairness. */
 class FairSchedulerTest {
     private static final double[] WEIGHTS = {1, 3, 1.5};
 
-    private static AdmissionEntry newEntry(TrafficClass trafficClass, int tenant, long clientKey, long cost, double utilityPerWork) {
-        AdmissionEntry entry = new AdmissionEntry(new Rpc(0, 0, null, 0, false, 0, null, null), trafficClass, tenant, 0);
+    private static AdmissionEntry newEntry(TrafficClass trafficClass, int tenant, long clientKey, long cost,
+            double utilityPerWork) {
+        AdmissionEntry entry = new AdmissionEntry(new Rpc(0, 0, null, 0, false, 0, null, null), trafficClass, tenant,
+                0);
         entry.clientKey = clientKey;
         entry.cost = cost;
         entry.utilityPerWork = utilityPerWork;
@@ -28,7 +30,7 @@
         return new TrafficClass(scheduler.newQueue(), noReservations.new Schedule(0), 1, 1);
     }
 
-    /** The rules in plain words: rings as lists, whoever has credit serves, else gets its quantum and goes behind. */
+    /** Deficit round robin with lists as rings: the first with credit is served, others get a quantum and move last. */
     private static final class ReferenceModel {
         static final class Client {
             final long key;
@@ -161,8 +163,8 @@
                 int chosen = random.nextInt(2);
                 int action = random.nextInt(8);
                 if (action < 4 && !scheduler.full()) {
-                    AdmissionEntry entry = newEntry(trafficClasses.get(chosen), random.nextInt(3), random.nextInt(clients),
-                            1 + random.nextInt(150), random.nextInt(3));
+                    AdmissionEntry entry = newEntry(trafficClasses.get(chosen), random.nextInt(3),
+                            random.nextInt(clients), 1 + random.nextInt(150), random.nextInt(3));
                     entry.reserved = random.nextInt(20) == 0;
                     scheduler.add(entry.queue, entry, 0);
                     models.get(chosen).add(entry);
@@ -177,13 +179,13 @@
                     waiting.remove(next);
                 }
                 assertEquals(waiting.size(), scheduler.waiting());
-                assertEquals(waiting.stream().filter(t -> t.queue.index == chosen && !t.reserved).mapToLong(t -> t.cost).sum(),
-                        trafficClasses.get(chosen).queue.queuedWork());
+                assertEquals(waiting.stream().filter(t -> t.queue.index == chosen && !t.reserved)
+                        .mapToLong(t -> t.cost).sum(), trafficClasses.get(chosen).queue.queuedWork());
             }
         }
     }
 
-    /** Work served of each key by lane over many turns, where all always have something waiting. */
+    /** Work served by client and tenant (key 10 * clientKey + tenant) while each always has entries waiting. */
     private static Map<Long, Long> workServed(int[] tenants, long[] keys, long[] costs, int rounds) {
         FairScheduler scheduler = new FairScheduler(10 * keys.length, WEIGHTS);
         scheduler.setQuantum(1000);
@@ -203,8 +205,8 @@
     }
 
     @Test void clientsOfATenantGetEqualWorkAndTenantsGetWorkByWeight() {
-        Map<Long, Long> work = workServed(new int[] {0, 0, 1, 1}, new long[] {1, 2, 3, 4}, new long[] {100, 900, 300, 50},
-                40_000);
+        Map<Long, Long> work = workServed(new int[] {0, 0, 1, 1}, new long[] {1, 2, 3, 4},
+                new long[] {100, 900, 300, 50}, 40_000);
         assertEquals(1, work.get(10L) / (double) work.get(20L), 0.02);
         assertEquals(1, work.get(31L) / (double) work.get(41L), 0.02);
         assertEquals(3, (work.get(31L) + work.get(41L)) / (double) (work.get(10L) + work.get(20L)), 0.05);
@@ -220,7 +222,7 @@
         assertTrue(relative[0] + relative[1] + relative[2] < 1.7, work.toString());
     }
 
-    /** Keys that all fall on one place of the table: slower to find, and each is still a flow of its own. */
+    /** Keys that all hash to one slot of the table are slower to find, but each still has a flow of its own. */
     @Test void collidingKeysKeepSeparateFlows() {
         FairScheduler scheduler = new FairScheduler(64, new double[] {1});
         scheduler.setQuantum(100);
@@ -239,7 +241,7 @@
         for (int i = 0; i < 20; i++) {
             servedByKey.merge(scheduler.poll(trafficClass.queue).clientKey, 1, Integer::sum);
         }
-        assertEquals(20, servedByKey.size(), "one each in the first round");
+        assertEquals(20, servedByKey.size(), "the first round serves one entry of each client");
     }
 
     @Test void evictionCandidateBelongsToLongestSampledFlow() {
