--- a/lab/src/main/java/reedquay/fair/DoorCost.java
+++ b/lab/src/main/java/reedquay/fair/DoorCost.java
@@ -31,8 +31,9 @@
 import reedquay.core.Stage;
 
 /**
- * What the door costs: an RPC in and out without pressure, against no door; one in and one out of so many flows that
- * wait, against maps and queues of the library's.
+ * JMH benchmarks of admission control: the time of an RPC from arrival to answer without overload, with and without an
+ * AdmissionController; and the time to serve and add one entry among a number of waiting flows, with FairScheduler and
+ * with the JDK's maps and queues.
  */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -44,25 +45,26 @@
     private static final Method READ = new Method("read", Method.Consistency.ANY, 0, 400 * MS, 1500 * MS, 1, 0,
             Method.RetrySafety.IDEMPOTENT, Method.DeduplicationScope.ALL, 0);
 
-    /** Decisions that do next to nothing: an RPC is called out at once. */
-    private static final class ImmediateDecider implements RoutingEngine {
-        private final RoutingActions effects;
+    /** Sends a call-out for each RPC at once and does nothing else. */
+    private static final class ImmediateEngine implements RoutingEngine {
+        private final RoutingActions actions;
         private final Member member = new Member("m");
         private long now;
 
-        ImmediateDecider(RoutingActions effects) { this.effects = effects; }
+        ImmediateEngine(RoutingActions actions) { this.actions = actions; }
 
         @Override public void beginBatch(long time) { now = time; }
 
         @Override public void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) { }
 
         @Override public void rpcArrived(Rpc rpc) {
-            CallOut call = new CallOut(rpc, member, now);
-            rpc.callOuts.add(call);
-            effects.sendCallOut(call, 0);
+            CallOut callOut = new CallOut(rpc, member, now);
+            rpc.callOuts.add(callOut);
+            actions.sendCallOut(callOut, 0);
         }
 
-        @Override public void callOutEnded(CallOut c, Outcome o, long took, boolean ended, long p, Role role, LoadReport r) { }
+        @Override public void callOutEnded(CallOut callOut, Outcome outcome, long took, boolean ended, long position,
+                Role role, LoadReport report) { }
 
         @Override public void connectionReady(CallOut callOut) { }
 
@@ -73,7 +75,7 @@
         @Override public void endBatch() { }
     }
 
-    /** A front that does nothing. */
+    /** A front that ignores all actions. */
     private static final class NoOpFront extends Stage {
         NoOpFront() { super(null); }
 
@@ -88,15 +90,15 @@
         @Override public void log(String line) { }
     }
 
-    /** One RPC in and its answer, without pressure. */
+    /** One RPC and its answer without overload; door: NONE without admission control, DOOR with it. */
     @State(Scope.Thread)
     public static class Calm {
         @Param({"NONE", "DOOR"})
         public String door;
-        private RoutingEngine decider;
+        private RoutingEngine engine;
         private long now = 1_000_000 * MS;
         private long lastId;
-        private final String[] callers = new String[1024];
+        private final String[] clients = new String[1024];
 
         @Setup public void setUp() {
             Settings settings = new Settings(1, "a", 0, 1, 5 * MS, List.of(READ),
@@ -106,38 +108,40 @@
                     new Settings.PositionSources(true, false, true, false, false), new Settings.Costs(0, 0, 0, 0, 0));
             NoOpFront front = new NoOpFront();
             if (door.equals("NONE")) {
-                decider = new ImmediateDecider(front);
+                engine = new ImmediateEngine(front);
             } else {
-                AdmissionController turns = new AdmissionController(settings, new AdmissionSettings(1000, Map.of()), front);
-                decider = turns.setNext(new ImmediateDecider(turns));
+                AdmissionController controller = new AdmissionController(settings,
+                        new AdmissionSettings(1000, Map.of()), front);
+                engine = controller.setNext(new ImmediateEngine(controller));
             }
-            decider.beginBatch(now);
-            decider.membersListed(ListedMember.ListKind.FULL, List.of(new ListedMember(new Member("m"), "a", "s", 1, ListedMember.Phase.UP, true,
-                    1, 0)));
-            decider.endBatch();
-            for (int i = 0; i < callers.length; i++) {
-                callers[i] = "customer-" + i;
+            engine.beginBatch(now);
+            engine.membersListed(ListedMember.ListKind.FULL, List.of(new ListedMember(new Member("m"), "a", "s", 1,
+                    ListedMember.Phase.UP, true, 1, 0)));
+            engine.endBatch();
+            for (int i = 0; i < clients.length; i++) {
+                clients[i] = "customer-" + i;
             }
         }
 
         Rpc serveOne() {
             now += 100_000;
             Rpc rpc = new Rpc(++lastId, 1, null, now + 1500 * MS, false, 0, "acme", READ);
-            rpc.clientId = callers[(int) lastId & 1023];
-            decider.beginBatch(now);
-            decider.rpcArrived(rpc);
-            decider.endBatch();
+            rpc.clientId = clients[(int) lastId & 1023];
+            engine.beginBatch(now);
+            engine.rpcArrived(rpc);
+            engine.endBatch();
             rpc.ended = true;
-            decider.beginBatch(now + 5 * MS);
-            decider.callOutEnded(rpc.callOuts.get(0), Outcome.OK, 5 * MS, true, LoadReport.NO_POSITION, Role.UNKNOWN, LoadReport.NONE);
-            decider.endBatch();
+            engine.beginBatch(now + 5 * MS);
+            engine.callOutEnded(rpc.callOuts.get(0), Outcome.OK, 5 * MS, true, LoadReport.NO_POSITION, Role.UNKNOWN,
+                    LoadReport.NONE);
+            engine.endBatch();
             return rpc;
         }
     }
 
     @Benchmark public Rpc calm(Calm calm) { return calm.serveOne(); }
 
-    /** So many flows wait; one is served and one more comes. */
+    /** A number of waiting flows with one entry each; serves one entry and adds one. */
     @State(Scope.Thread)
     public static class Queued {
         @Param({"1000", "100000"})
@@ -145,7 +149,7 @@
         private FairScheduler scheduler;
         private TrafficClass trafficClass;
         private final Map<Long, ArrayDeque<AdmissionEntry>> entriesByClient = new HashMap<>();
-        private final TreeMap<Long, Long> clientByPosition = new TreeMap<>(); // by when its turn is
+        private final TreeMap<Long, Long> clientByPosition = new TreeMap<>(); // by order of service
         private final Map<Long, Long> positionByClient = new HashMap<>();
         private long clientCounter;
         private long lastPosition;
@@ -153,7 +157,8 @@
         @Setup public void setUp() {
             scheduler = new FairScheduler(flows + 1, new double[] {1, 2});
             scheduler.setQuantum(1000);
-            trafficClass = new TrafficClass(scheduler.newQueue(), new RetryReservations(1, 0, 0, 1).new Schedule(0), 1, 1);
+            trafficClass = new TrafficClass(scheduler.newQueue(), new RetryReservations(1, 0, 0, 1).new Schedule(0), 1,
+                    1);
             for (int i = 0; i < flows; i++) {
                 scheduler.add(trafficClass.queue, newEntry(), 0);
                 addToMaps(newEntry());
@@ -161,30 +166,31 @@
         }
 
         private AdmissionEntry newEntry() {
-            AdmissionEntry turn = new AdmissionEntry(new Rpc(0, 0, null, 0, false, 0, null, READ), trafficClass, (int) (clientCounter & 1), 0);
-            turn.clientKey = ++clientCounter * 0x9E3779B97F4A7C15L;
-            turn.cost = 900;
-            return turn;
+            AdmissionEntry entry = new AdmissionEntry(new Rpc(0, 0, null, 0, false, 0, null, READ), trafficClass,
+                    (int) (clientCounter & 1), 0);
+            entry.clientKey = ++clientCounter * 0x9E3779B97F4A7C15L;
+            entry.cost = 900;
+            return entry;
         }
 
-        private void addToMaps(AdmissionEntry turn) {
-            entriesByClient.computeIfAbsent(turn.clientKey, k -> {
+        private void addToMaps(AdmissionEntry entry) {
+            entriesByClient.computeIfAbsent(entry.clientKey, k -> {
                 clientByPosition.put(++lastPosition, k);
                 positionByClient.put(k, lastPosition);
                 return new ArrayDeque<>();
-            }).addLast(turn);
+            }).addLast(entry);
         }
 
         AdmissionEntry serveAndRefill() {
-            AdmissionEntry out = scheduler.poll(trafficClass.queue);
+            AdmissionEntry served = scheduler.poll(trafficClass.queue);
             scheduler.add(trafficClass.queue, newEntry(), 0);
-            return out;
+            return served;
         }
 
         AdmissionEntry serveAndRefillMaps() {
             Map.Entry<Long, Long> first = clientByPosition.pollFirstEntry();
             ArrayDeque<AdmissionEntry> queue = entriesByClient.get(first.getValue());
-            AdmissionEntry out = queue.pollFirst();
+            AdmissionEntry served = queue.pollFirst();
             if (queue.isEmpty()) {
                 entriesByClient.remove(first.getValue());
                 positionByClient.remove(first.getValue());
@@ -192,7 +198,7 @@
                 clientByPosition.put(++lastPosition, first.getValue());
             }
             addToMaps(newEntry());
-            return out;
+            return served;
         }
     }
 
