--- a/lab/src/main/java/reedquay/lab/QueueingDisciplines.java
+++ b/lab/src/main/java/reedquay/lab/QueueingDisciplines.java
@@ -10,43 +10,48 @@
 import java.util.SplittableRandom;
 
 /**
- * Ways to order who waits, on a plain model: one server, unit work, clients that each ask at an even pace and one that
- * asks for many times as much. Shows what each costs in memory and in fairness; the door's own code is not in it.
+ * Queueing disciplines on a simple model: one server, requests of one unit of work, light clients that ask equally
+ * often and one greedy client that asks many times as often. Compares their memory and fairness; the code of admission
+ * control itself is not part of it.
  */
 final class QueueingDisciplines {
-    /** A discipline: takes client ids, gives back whose turn it is. */
+    /** A queueing discipline: queues requests by client id and returns the client that is served next. */
     interface Discipline {
-        /** OK, AWAY where it is turned away, else the client whose last one gives its place up. */
+        /** ACCEPTED, REJECTED, or the client whose newest request was evicted for this one. */
         int add(int client);
 
-        /** -1 where nothing waits. */
+        /** The client served next; -1 where nothing waits. */
         int next();
 
-        /** What its structures hold now, counted as arrays of plain numbers. */
+        /** Bytes of its data structures now, counted as arrays of primitive types. */
         long bytes();
     }
 
     private static final int ACCEPTED = -1;
     private static final int REJECTED = -2;
-    private static final int MAX_WAIT_STEPS = 100; // steps
-    private static final int MAX_WAITING = 1000; // that may wait, the same for all
+    private static final int MAX_WAIT_STEPS = 100; // a request served later is not in time
+    private static final int MAX_WAITING = 1000; // requests, the same for all disciplines
 
     private QueueingDisciplines() { }
 
     static Map<String, Discipline> all(long seed) {
-        Map<String, Discipline> ways = new java.util.LinkedHashMap<>();
-        ways.put("first come", new HashedQueues(1, 1, seed, 0));
-        ways.put("round robin by client, only those that wait", new RoundRobin());
-        ways.put("stochastic, 64 queues, seed changes", new HashedQueues(64, 1, seed, 5000));
-        ways.put("stochastic, 1024 queues, seed changes", new HashedQueues(1024, 1, seed, 5000));
-        ways.put("stochastic, 1024 queues, one seed", new HashedQueues(1024, 1, seed, 0));
-        ways.put("shuffled hand of 4 of 128 queues", new HashedQueues(128, 4, seed, 0));
-        ways.put("start-time tags for each client ever seen", new StartTimeFairQueueing());
-        ways.put("one queue, Space-Saving of 64 before it", new HeavyHitterFilter(64));
-        return ways;
+        Map<String, Discipline> disciplines = new java.util.LinkedHashMap<>();
+        disciplines.put("first come", new HashedQueues(1, 1, seed, 0));
+        disciplines.put("round robin by client, only those that wait", new RoundRobin());
+        disciplines.put("stochastic, 64 queues, seed changes", new HashedQueues(64, 1, seed, 5000));
+        disciplines.put("stochastic, 1024 queues, seed changes", new HashedQueues(1024, 1, seed, 5000));
+        disciplines.put("stochastic, 1024 queues, one seed", new HashedQueues(1024, 1, seed, 0));
+        disciplines.put("shuffled hand of 4 of 128 queues", new HashedQueues(128, 4, seed, 0));
+        disciplines.put("start-time tags for each client ever seen", new StartTimeFairQueueing());
+        disciplines.put("one queue, Space-Saving of 64 before it", new HeavyHitterFilter(64));
+        return disciplines;
     }
 
-    /** Queues by hash, served in turn; a hand of more than one takes the shortest. */
+    /**
+     * Stochastic fair queueing: queues by hash of the client, served round robin; with a hand of more than one (shuffle
+     * sharding) the shortest queue of the client's hand. Requests are rehashed with a new seed every reseedInterval
+     * requests; 0 for never.
+     */
     private static final class HashedQueues implements Discipline {
         private final List<ArrayDeque<Integer>> queues = new ArrayList<>();
         private final int handSize;
@@ -56,34 +61,34 @@
         private int currentQueue;
         private int waiting;
 
-        HashedQueues(int count, int hand, long seed, long change) {
-            this.handSize = hand;
+        HashedQueues(int queueCount, int handSize, long seed, long reseedInterval) {
+            this.handSize = handSize;
             this.seed = seed;
-            this.reseedInterval = change;
-            for (int i = 0; i < count; i++) {
+            this.reseedInterval = reseedInterval;
+            for (int i = 0; i < queueCount; i++) {
                 queues.add(new ArrayDeque<>());
             }
         }
 
         private ArrayDeque<Integer> queueOf(int client) {
-            ArrayDeque<Integer> best = null;
+            ArrayDeque<Integer> shortest = null;
             SplittableRandom dealt = new SplittableRandom(seed * 31 + client);
             for (int i = 0; i < handSize; i++) {
-                ArrayDeque<Integer> each = queues.get(dealt.nextInt(queues.size()));
-                best = best == null || each.size() < best.size() ? each : best;
+                ArrayDeque<Integer> candidate = queues.get(dealt.nextInt(queues.size()));
+                shortest = shortest == null || candidate.size() < shortest.size() ? candidate : shortest;
             }
-            return best;
+            return shortest;
         }
 
         @Override public int add(int client) {
             if (reseedInterval > 0 && ++addCount % reseedInterval == 0) {
                 seed++;
-                List<Integer> all = new ArrayList<>();
+                List<Integer> waitingClients = new ArrayList<>();
                 queues.forEach(q -> {
-                    all.addAll(q);
+                    waitingClients.addAll(q);
                     q.clear();
                 });
-                all.forEach(c -> queueOf(c).addLast(c));
+                waitingClients.forEach(c -> queueOf(c).addLast(c));
             }
             ArrayDeque<Integer> queue = queueOf(client);
             if (waiting >= MAX_WAITING) {
@@ -92,9 +97,9 @@
                 if (longest == queue || queues.size() == 1) {
                     return REJECTED;
                 }
-                int out = longest.pollLast();
+                int evicted = longest.pollLast();
                 queue.addLast(client);
-                return out;
+                return evicted;
             }
             queue.addLast(client);
             waiting++;
@@ -115,31 +120,31 @@
         @Override public long bytes() { return queues.size() * 16L + MAX_WAITING * 8L; }
     }
 
-    /** Round robin over the clients that wait, whatever their number. */
+    /** Round robin over the clients that have requests waiting; evicts from the client with the most. */
     private static final class RoundRobin implements Discipline {
         private final Map<Integer, Integer> waitingByClient = new HashMap<>();
         private final ArrayDeque<Integer> ring = new ArrayDeque<>();
         private int waiting;
 
         @Override public int add(int client) {
-            int out = ACCEPTED;
+            int result = ACCEPTED;
             if (waiting >= MAX_WAITING) {
                 int longest = client;
-                for (Map.Entry<Integer, Integer> e : waitingByClient.entrySet()) {
-                    longest = e.getValue() > waitingByClient.getOrDefault(longest, 0) ? e.getKey() : longest;
+                for (Map.Entry<Integer, Integer> entry : waitingByClient.entrySet()) {
+                    longest = entry.getValue() > waitingByClient.getOrDefault(longest, 0) ? entry.getKey() : longest;
                 }
                 if (longest == client || waitingByClient.get(longest) <= waitingByClient.getOrDefault(client, 0) + 1) {
                     return REJECTED;
                 }
                 waitingByClient.merge(longest, -1, Integer::sum);
                 waiting--;
-                out = longest;
+                result = longest;
             }
             if (waitingByClient.merge(client, 1, Integer::sum) == 1) {
                 ring.addLast(client);
             }
             waiting++;
-            return out;
+            return result;
         }
 
         @Override public int next() {
@@ -159,7 +164,7 @@
         @Override public long bytes() { return MAX_WAITING * 108L; }
     }
 
-    /** Start-time fair queueing that remembers each client's last tag. */
+    /** Start-time fair queueing that keeps the last finish tag of each client ever seen. */
     private static final class StartTimeFairQueueing implements Discipline {
         private record Tag(double start, long order, int client) { }
 
@@ -191,7 +196,10 @@
         @Override public long bytes() { return finishTags.size() * 48L + MAX_WAITING * 24L; }
     }
 
-    /** First come, first served, but a client counted for more than four times the even part of late is turned away. */
+    /**
+     * First come, first served behind a heavy-hitter filter: a client whose recent count (Space-Saving) is above four
+     * times the total divided by the number of counters is rejected while more than a twentieth of the queue is used.
+     */
     private static final class HeavyHitterFilter implements Discipline {
         private final int[] clients;
         private final long[] counts;
@@ -199,22 +207,22 @@
         private int used;
         private long total;
 
-        HeavyHitterFilter(int most) {
-            clients = new int[most];
-            counts = new long[most];
+        HeavyHitterFilter(int size) {
+            clients = new int[size];
+            counts = new long[size];
         }
 
         private long countRequest(int client) {
-            int least = 0;
+            int smallest = 0;
             for (int i = 0; i < used; i++) {
                 if (clients[i] == client) {
                     return ++counts[i];
                 }
-                least = counts[i] < counts[least] ? i : least;
+                smallest = counts[i] < counts[smallest] ? i : smallest;
             }
-            int at = used < clients.length ? used++ : least;
-            clients[at] = client;
-            return ++counts[at];
+            int index = used < clients.length ? used++ : smallest;
+            clients[index] = client;
+            return ++counts[index];
         }
 
         @Override public int add(int client) {
@@ -234,51 +242,56 @@
         @Override public long bytes() { return clients.length * 12L + MAX_WAITING * 8L; }
     }
 
-    /** What is served in time of the requests: of the light clients, of their worst hundredth, of the greedy one. */
-    static String tableRow(String name, Discipline way, int clients, long seed) {
+    /**
+     * A row of the printed table: share of requests served in time for the light clients together, for the worst 1 % of
+     * them, and for the greedy client; and bytes.
+     */
+    static String tableRow(String name, Discipline discipline, int clients, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int steps = Math.max(400_000, 2 * clients);
-        int[] asked = new int[clients + 1];
+        int[] requests = new int[clients + 1];
         int[] served = new int[clients + 1];
-        Map<Integer, ArrayDeque<Integer>> since = new HashMap<>();
-        for (int i = 0; i < steps; i++) { // 0.8 of the server by all, 0.6 by one, in any order
-            boolean first = random.nextBoolean();
+        Map<Integer, ArrayDeque<Integer>> queuedAt = new HashMap<>();
+        // all light clients ask for 0.8 of the server's capacity, the greedy one for 0.6, in random order within a step
+        for (int step = 0; step < steps; step++) {
+            boolean lightFirst = random.nextBoolean();
             for (int k = 0; k < 2; k++) {
-                boolean light = k == 0 == first;
+                boolean light = k == 0 == lightFirst;
                 if (random.nextInt(10) >= (light ? 8 : 6)) {
                     continue;
                 }
                 int client = light ? 1 + random.nextInt(clients) : 0;
-                asked[client]++;
-                int out = way.add(client);
-                if (out != REJECTED) {
-                    since.computeIfAbsent(client, c -> new ArrayDeque<>()).addLast(i);
+                requests[client]++;
+                int result = discipline.add(client);
+                if (result != REJECTED) {
+                    queuedAt.computeIfAbsent(client, c -> new ArrayDeque<>()).addLast(step);
                 }
-                if (out >= 0) {
-                    since.get(out).pollLast();
+                if (result >= 0) {
+                    queuedAt.get(result).pollLast();
                 }
             }
-            int next = way.next();
+            int next = discipline.next();
             if (next >= 0) {
-                ArrayDeque<Integer> of = since.get(next);
-                served[next] += i - of.pollFirst() <= MAX_WAIT_STEPS ? 1 : 0;
-                if (of.isEmpty()) {
-                    since.remove(next);
+                ArrayDeque<Integer> times = queuedAt.get(next);
+                served[next] += step - times.pollFirst() <= MAX_WAIT_STEPS ? 1 : 0;
+                if (times.isEmpty()) {
+                    queuedAt.remove(next);
                 }
             }
         }
         double light = 0;
-        long had = 0;
-        List<Double> each = new ArrayList<>();
+        long lightRequests = 0;
+        List<Double> servedShares = new ArrayList<>();
         for (int c = 1; c <= clients; c++) {
             light += served[c];
-            had += asked[c];
-            if (asked[c] > 0) {
-                each.add(served[c] / (double) asked[c]);
+            lightRequests += requests[c];
+            if (requests[c] > 0) {
+                servedShares.add(served[c] / (double) requests[c]);
             }
         }
-        each.sort(Double::compare);
-        return String.format(Locale.ROOT, "| %s | %,d | %.3f | %.3f | %.3f | %,d |", name, clients, light / had,
-                each.get(each.size() / 100), served[0] / (double) asked[0], way.bytes());
+        servedShares.sort(Double::compare);
+        return String.format(Locale.ROOT, "| %s | %,d | %.3f | %.3f | %.3f | %,d |", name, clients,
+                light / lightRequests, servedShares.get(servedShares.size() / 100), served[0] / (double) requests[0],
+                discipline.bytes());
     }
 }
