--- a/src/main/java/reedquay/fair/AdmissionController.java
+++ b/src/main/java/reedquay/fair/AdmissionController.java
@@ -103,8 +103,8 @@
     // ---- State ----
 
     /**
-     * Why an RPC was pushed back: it could not be admitted in time, all places were taken, it waited too long, or the
-     * Router pushed it back. The names are written out in counters and in the trace.
+     * Why an RPC was pushed back: it was not expected to be admitted in time, all places were taken, it waited too
+     * long, or the Router pushed it back. The names are written out in counters and in the trace.
      */
     enum PushbackReason { NO_TIME, FULL, LATE, MEMBERS }
 
@@ -130,13 +130,13 @@
     private static final int HEAVY_HITTER_COUNT = 64;
 
     private final Settings settings;
-    private final long tick;
+    private final long tick; // nanoseconds; the front's timers are no finer
     private final long shortestSoftDeadline; // of all methods
     private final long wheelSlotWidth; // nanoseconds per slot of the timer wheel
     private final long maxRetryAfter; // 0 where clients can't be given a retry-after
     private final Map<String, Integer> tenantIndexes = new HashMap<>(); // never iterated
     private final List<TenantCounters> tenantCounters = new ArrayList<>();
-    private final double[] weights;
+    private final double[] weights; // by tenant, the smallest is 1; shared with the scheduler
     private final Map<Integer, TrafficClass[]> classesByGroup = new HashMap<>(); // {reads, writes}; never iterated
     private final List<TrafficClass> trafficClasses = new ArrayList<>();
     private final FairScheduler scheduler;
@@ -287,11 +287,11 @@
         return method.consistency() != Method.Consistency.WRITE && method.consistency() != Method.Consistency.FRESH;
     }
 
-    @Override public void callOutEnded(CallOut callOut, Outcome outcome, long took, boolean ended, long position,
+    @Override public void callOutEnded(CallOut callOut, Outcome outcome, long latency, boolean ended, long position,
             Role role, LoadReport report) {
         AdmissionEntry entry = (AdmissionEntry) callOut.rpc.filterState;
         if (outcome == Outcome.OK && isMeasured(entry)) {
-            costsOf(callOut.rpc.method).add(took);
+            costsOf(callOut.rpc.method).add(latency);
         }
         if (outcome == Outcome.FULL && entry.trafficClass != null) {
             entry.trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.REJECTED, now,
@@ -300,7 +300,7 @@
         if (ended && outcome == Outcome.OK) {
             apply(entry, Input.ANSWERED);
         }
-        next.callOutEnded(callOut, outcome, took, ended, position, role, report);
+        next.callOutEnded(callOut, outcome, latency, ended, position, role, report);
     }
 
     @Override public void sendCallOut(CallOut callOut, long limit) {
@@ -332,7 +332,7 @@
 
     @Override public void deadlineShortened(Rpc rpc) {
         AdmissionEntry entry = (AdmissionEntry) rpc.filterState;
-        if (entry.state == State.WAITING) { // else a shutdown before it is admitted would leave it without an answer
+        if (entry.state == State.WAITING) { // a shutdown may come before it is admitted, and would leave it unanswered
             removeFromWheel(entry);
             entry.expiresAt = Math.min(entry.expiresAt,
                     entry.arrivedAt + (rpc.deadline - entry.arrivedAt) / 2 - wheelSlotWidth);
@@ -342,12 +342,12 @@
         }
     }
 
-    @Override public void pushBack(Rpc rpc, long after) {
+    @Override public void pushBack(Rpc rpc, long retryAfter) {
         pushbackReason = PushbackReason.MEMBERS;
         AdmissionEntry entry = (AdmissionEntry) rpc.filterState;
         tenantCounters.get(entry.tenant).pushbacks[PushbackReason.MEMBERS.ordinal()]++;
         apply(entry, Input.PUSHED_BACK);
-        actions.pushBack(rpc, entry.trafficClass == null ? after : retryAfterRouterPushback(entry, after));
+        actions.pushBack(rpc, entry.trafficClass == null ? retryAfter : retryAfterRouterPushback(entry, retryAfter));
     }
 
     @Override public void abort(Rpc rpc) {
@@ -599,11 +599,12 @@
     // ---- Retry-after, costs, client keys ----
 
     /** The retry-after of an RPC that the Router pushed back: the Router's without overload, else a reserved one. */
-    private long retryAfterRouterPushback(AdmissionEntry entry, long after) {
+    private long retryAfterRouterPushback(AdmissionEntry entry, long routerRetryAfter) {
         if (entry.trafficClass.concurrencyLimit.overloaded()) {
             return reserveRetryAfter(entry);
         }
-        return after <= 0 ? after : entry.trafficClass.schedule.record(clientKey(hasher, entry.rpc), now, after);
+        return routerRetryAfter <= 0 ? routerRetryAfter
+                : entry.trafficClass.schedule.record(clientKey(hasher, entry.rpc), now, routerRetryAfter);
     }
 
     /**
--- a/src/main/java/reedquay/fair/ConcurrencyLimit.java
+++ b/src/main/java/reedquay/fair/ConcurrencyLimit.java
@@ -22,7 +22,7 @@
     }
 
     private static final int BURST_ALLOWANCE = 16; // RPCs admitted at once, however few were in flight before
-    private static final int MIN_LIMIT = 2; // with two in flight, one shows the capacity where the other can't
+    private static final int MIN_LIMIT = 2; // two RPCs, as one may show free capacity where the other can't
 
     private interface Condition {
         boolean test(ConcurrencyLimit limit);
--- a/src/test/java/reedquay/ops/FairGatewayTest.java
+++ b/src/test/java/reedquay/ops/FairGatewayTest.java
@@ -83,12 +83,12 @@
     /** Sends requests one after the other while the load is on; a greedy client without a pause, others with one. */
     private Thread startClient(String key, boolean greedy, AtomicLong requests, AtomicLong inTime) {
         Thread thread = new Thread(() -> {
-            try (Connection c = connect(key); Statement s = c.createStatement()) {
+            try (Connection connection = connect(key); Statement statement = connection.createStatement()) {
                 while (loading) {
                     long startedAt = System.nanoTime();
                     requests.incrementAndGet();
-                    try (ResultSet r = s.executeQuery(selectStatement(key))) {
-                        assertTrue(r.next());
+                    try (ResultSet rows = statement.executeQuery(selectStatement(key))) {
+                        assertTrue(rows.next());
                         inTime.addAndGet(System.nanoTime() - startedAt < 500_000_000 ? 1 : 0);
                     } catch (SQLException e) {
                         assertEquals("53300", e.getSQLState());
@@ -119,11 +119,13 @@
         awaitCount(counts[0], 800); // until members are seen to be full and the concurrency limit adapts
         long[] before = {counts[2].get(), counts[3].get()};
         awaitCount(counts[2], before[0] + 40L * OTHER_CLIENTS);
-        try (Connection c = connect("look"); Statement s = c.createStatement()) {
-            List<String> clients = showRows(s, "clients");
+        try (Connection connection = connect("look"); Statement statement = connection.createStatement()) {
+            List<String> clients = showRows(statement, "clients");
             assertTrue(clients.get(0).startsWith("acme greedy "), clients.toString());
-            assertEquals(2, showRows(s, "ways").size(), "a row for reads and one for writes, overloaded or not");
-            assertTrue(showRows(s, "tenants").get(0).startsWith("acme 1.0 "), showRows(s, "tenants").toString());
+            assertEquals(2, showRows(statement, "ways").size(),
+                    "a row for reads and one for writes, overloaded or not");
+            assertTrue(showRows(statement, "tenants").get(0).startsWith("acme 1.0 "),
+                    showRows(statement, "tenants").toString());
         }
         loading = false;
         for (Thread thread : threads) {
@@ -139,13 +141,13 @@
         }
     }
 
-    private static List<String> showRows(Statement s, String name) throws SQLException {
+    private static List<String> showRows(Statement statement, String name) throws SQLException {
         List<String> rows = new ArrayList<>();
-        try (ResultSet r = s.executeQuery("SHOW " + name)) {
-            while (r.next()) {
+        try (ResultSet results = statement.executeQuery("SHOW " + name)) {
+            while (results.next()) {
                 StringBuilder row = new StringBuilder();
-                for (int i = 1; i <= r.getMetaData().getColumnCount(); i++) {
-                    row.append(i > 1 ? " " : "").append(r.getString(i));
+                for (int i = 1; i <= results.getMetaData().getColumnCount(); i++) {
+                    row.append(i > 1 ? " " : "").append(results.getString(i));
                 }
                 rows.add(row.toString());
             }
@@ -167,15 +169,15 @@
     /** A reload applies weights at once; settings that need a restart and an invalid file change nothing. */
     @Test void reloadAppliesWeightsWithoutRestart() throws Exception {
         startGateway("[fair]\nenabled = true\n");
-        try (Connection c = connect("look"); Statement s = c.createStatement()) {
-            assertEquals("1.0", showRows(s, "tenants").get(0).split(" ")[1]);
+        try (Connection connection = connect("look"); Statement statement = connection.createStatement()) {
+            assertEquals("1.0", showRows(statement, "tenants").get(0).split(" ")[1]);
             writeOperatorsFile("[fair]\nenabled = true\nmemory_kb = 99\n[fair.weights]\nacme = 500\n");
             assertTrue(operatorGateway.reload().join());
-            assertEquals("5.0", showRows(s, "tenants").get(0).split(" ")[1],
+            assertEquals("5.0", showRows(statement, "tenants").get(0).split(" ")[1],
                     "relative to the other tenants' weight of 100");
             writeOperatorsFile("[fair]\nenabled = maybe\n");
             assertFalse(operatorGateway.reload().join());
-            assertEquals("5.0", showRows(s, "tenants").get(0).split(" ")[1]);
+            assertEquals("5.0", showRows(statement, "tenants").get(0).split(" ")[1]);
         }
     }
 
