--- a/src/main/java/reedquay/fair/AdmissionEntry.java
+++ b/src/main/java/reedquay/fair/AdmissionEntry.java
@@ -20,8 +20,8 @@
     boolean forwarded; // passed on to the Router
     boolean heldByRouter; // the Router delayed the first call-out
     boolean calledOut; // the first call-out was sent
-    int entryIndex = FairScheduler.NONE; // used by FairScheduler alone, as is the next
-    int flowIndex = FairScheduler.NONE;
+    int entryIndex = FairScheduler.NONE; // position in FairScheduler's arrays of entries
+    int flowIndex = FairScheduler.NONE; // its flow in FairScheduler; NONE while not queued or reserved
     AdmissionEntry wheelNext; // links and slot in the timer wheel
     AdmissionEntry wheelPrevious;
     int wheelSlot = -1;
--- a/src/main/java/reedquay/fair/FairScheduler.java
+++ b/src/main/java/reedquay/fair/FairScheduler.java
@@ -77,7 +77,7 @@
     private final int[] entryCount;
     private final long[] flowCredit;
     private final long[] queuedWork;
-    private final long[] servedWork; // since servedSince; both halve the past now and then
+    private final long[] servedWork; // work since servedSince; halved over time, see servedRate
     private final long[] servedSince;
     private final int[] nextFlow;
     private final int[] previousFlow;
