--- a/src/main/java/reedquay/net/DiscoveryClient.java
+++ b/src/main/java/reedquay/net/DiscoveryClient.java
@@ -27,177 +27,184 @@
 import java.util.concurrent.TimeUnit;
 import reedquay.core.ListedMember;
 import reedquay.core.ListedMember.ListKind;
-import reedquay.members.Ledger;
-import reedquay.members.Ledger.Entry;
-import reedquay.members.Ledger.Source;
-import reedquay.members.Ledger.Told;
-
-/** Follows the list of members: reads what its sources tell and writes requests; members.Ledger decides. */
-final class DiscoveryClient implements Ledger.Effects {
-    private static final long BEAT = 2_000_000_000; // an empty line comes that often while nothing changes
-    private static final int LONGEST_LINE = 4 << 20;
-
-    private final Dispatcher door;
+import reedquay.members.MembershipReconciler;
+import reedquay.members.MembershipReconciler.Entry;
+import reedquay.members.MembershipReconciler.ListUpdate;
+import reedquay.members.MembershipReconciler.Watch;
+
+/**
+ * The client of the discovery service: opens HTTP watches on the agents' addresses and parses the member lists that
+ * they send. MembershipReconciler decides which watches are open and which list is in force.
+ */
+final class DiscoveryClient implements MembershipReconciler.Actions {
+    private static final long HEARTBEAT_NANOS = 2_000_000_000; // agents send an empty line if nothing changes
+    private static final int MAX_LINE_BYTES = 4 << 20;
+
+    private final Dispatcher dispatcher;
     private final Bootstrap bootstrap;
     private final EventLoop loop;
-    private final Ledger ledger;
+    private final MembershipReconciler reconciler;
 
-    DiscoveryClient(Dispatcher door, Bootstrap bootstrap, EventLoop loop) {
-        this.door = door;
+    DiscoveryClient(Dispatcher dispatcher, Bootstrap bootstrap, EventLoop loop) {
+        this.dispatcher = dispatcher;
         this.bootstrap = bootstrap;
         this.loop = loop;
-        ledger = new Ledger(BEAT, door.settings().rules().drainGrace(), this);
+        reconciler = new MembershipReconciler(HEARTBEAT_NANOS, dispatcher.settings().rules().drainGrace(), this);
     }
 
-    /** Whether discovery itself has told a list since the start. */
+    /** Whether any discovery agent has sent a list since the start. */
     boolean hasReceivedList() {
-        return ledger.heard();
+        return reconciler.hasReceivedList();
     }
 
-    /** The list as this gateway last had it. */
-    void restore(JsonObject known) {
-        now().remembered(read(known, true));
+    /** Restores the list that this gateway had before a restart. */
+    void restore(JsonObject cachedList) {
+        reconcilerNow().restore(parseList(cachedList, true));
     }
 
-    /** The list comes from this address from now on. */
-    void moveTo(InetSocketAddress where) {
-        now().moveTo(where);
+    /** Takes the list from this address from now on. */
+    void moveTo(InetSocketAddress newAddress) {
+        reconcilerNow().moveTo(newAddress);
     }
 
     void closeSilentWatches() {
-        now().sweep();
+        reconcilerNow().closeSilentWatches();
     }
 
     void close() {
-        now().close();
+        reconcilerNow().close();
     }
 
-    /** A row a source: address, state, generations told and in force, milliseconds since it was heard. */
+    /** A row per watch: address, state, generations received and in force, milliseconds since the last line. */
     List<String[]> statusRows() {
-        List<String[]> rows = now().rows();
-        rows.forEach(r -> r[4] = Long.toString(Long.parseLong(r[4]) / 1_000_000));
+        List<String[]> rows = reconcilerNow().statusRows();
+        rows.forEach(row -> row[4] = Long.toString(Long.parseLong(row[4]) / 1_000_000));
         return rows;
     }
 
-    private Ledger now() {
-        ledger.begin(door.clock.now());
-        return ledger;
+    /** The reconciler, set to the present time. */
+    private MembershipReconciler reconcilerNow() {
+        reconciler.beginBatch(dispatcher.clock.now());
+        return reconciler;
     }
 
-    // ---- Effects of the ledger ----
+    // ---- Actions of the reconciler ----
 
-    @Override public void open(Source source) {
-        Watch made = new Watch(source);
-        source.front = made;
+    @Override public void openWatch(Watch watch) {
+        WatchHandler handler = new WatchHandler(watch);
+        watch.frontState = handler;
         bootstrap.clone().handler(new ChannelInitializer<Channel>() {
             @Override protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new HttpClientCodec(), made);
+                channel.pipeline().addLast(new HttpClientCodec(), handler);
             }
-        }).connect((InetSocketAddress) source.address).addListener(f -> {
-            if (!f.isSuccess()) {
-                now().broken(source);
+        }).connect((InetSocketAddress) watch.address).addListener(connect -> {
+            if (!connect.isSuccess()) {
+                reconcilerNow().failed(watch);
             }
         });
     }
 
-    @Override public void close(Source source) {
-        ((Watch) source.front).close();
+    @Override public void closeWatch(Watch watch) {
+        ((WatchHandler) watch.frontState).close();
     }
 
-    @Override public void openIn(long wait) {
-        loop.schedule(() -> now().wake(), wait, TimeUnit.NANOSECONDS);
+    @Override public void scheduleReopen(long delay) {
+        loop.schedule(() -> reconcilerNow().reopenTimerExpired(), delay, TimeUnit.NANOSECONDS);
     }
 
-    @Override public void inForce(ListKind kind, List<Entry> entries) {
+    @Override public void updateMembers(ListKind kind, List<Entry> entries) {
         List<ListedMember> listed = new ArrayList<>();
         for (Entry entry : entries) {
-            Rest rest = (Rest) entry.rest();
-            Pool pool = door.pool(entry.id());
-            if (rest.where != null) {
-                pool.updateLocation(rest.where, entry.startedAt());
+            Attributes attributes = (Attributes) entry.attributes();
+            Pool pool = dispatcher.pool(entry.id());
+            if (attributes.address != null) {
+                pool.updateLocation(attributes.address, entry.startedAt());
             }
-            listed.add(new ListedMember(pool.member, rest.zone, rest.kind, rest.group, entry.phase(), rest.primary, rest.size,
-                    entry.startedAt()));
+            listed.add(new ListedMember(pool.member, attributes.zone, attributes.machineType, attributes.group,
+                    entry.phase(), attributes.primary, attributes.weight, entry.startedAt()));
         }
-        door.membersListed(kind, listed);
+        dispatcher.membersListed(kind, listed);
     }
 
-    @Override public void count(String what) {
-        door.counters.add("discovery." + what);
+    @Override public void incrementCounter(String name) {
+        dispatcher.counters.add("discovery." + name);
     }
 
-    @Override public void log(String line) {
-        door.log(line);
+    @Override public void log(String message) {
+        dispatcher.log(message);
     }
 
     // ---- Lines ----
 
-    /** What the ledger does not read of an entry. */
-    private record Rest(InetSocketAddress where, String zone, String kind, int group, boolean primary, double size) { }
+    /** The parts of an entry that the reconciler does not read. */
+    private record Attributes(InetSocketAddress address, String zone, String machineType, int group, boolean primary,
+            double weight) { }
 
-    private void line(Source from, String text) {
+    private void processLine(Watch watch, String line) {
         try {
-            if (text.isBlank()) {
-                now().beat(from);
+            if (line.isBlank()) {
+                reconcilerNow().heartbeatReceived(watch);
             } else {
-                now().told(from, read(JsonParser.parseString(text).getAsJsonObject(), false));
+                reconcilerNow().updateReceived(watch, parseList(JsonParser.parseString(line).getAsJsonObject(), false));
             }
         } catch (JsonParseException | IllegalStateException | ClassCastException | IllegalArgumentException
                 | UnsupportedOperationException e) {
-            door.counters.add("discovery.unreadable");
-            door.logOnce("discovery sent a list that cannot be read; the last one stays");
-            now().broken(from);
+            dispatcher.counters.add("discovery.unreadable");
+            dispatcher.logOnce("discovery sent a list that cannot be parsed; keeping the previous list");
+            reconcilerNow().failed(watch);
         }
     }
 
-    private Told read(JsonObject list, boolean remembered) {
+    private ListUpdate parseList(JsonObject list, boolean cached) {
         JsonArray instances = list.getAsJsonArray("instances");
         if (instances == null) {
-            throw new IllegalArgumentException("a list without instances");
+            throw new IllegalArgumentException("the member list has no field \"instances\"");
         }
         List<Entry> entries = new ArrayList<>();
         for (JsonElement element : instances) {
-            Entry entry = entry(element.getAsJsonObject());
+            Entry entry = parseEntry(element.getAsJsonObject());
             if (entry != null) {
                 entries.add(entry);
             }
         }
-        return new Told(list.has("generation") ? list.get("generation").getAsLong() : -1,
-                remembered || list.has("reset") && list.get("reset").getAsBoolean(), entries);
+        return new ListUpdate(list.has("generation") ? list.get("generation").getAsLong() : -1,
+                cached || list.has("reset") && list.get("reset").getAsBoolean(), entries);
     }
 
-    private Entry entry(JsonObject e) {
-        String id = e.get("instanceId").getAsString();
-        ListedMember.Phase phase = switch (text(e, "lifecycle")) {
+    private Entry parseEntry(JsonObject instance) {
+        String id = instance.get("instanceId").getAsString();
+        ListedMember.Phase phase = switch (stringOrEmpty(instance, "lifecycle")) {
             case "ready" -> ListedMember.Phase.UP;
             case "draining" -> ListedMember.Phase.DRAINING;
             case "gone" -> ListedMember.Phase.GONE;
             default -> null;
         };
         if (phase == null) {
-            door.logOnce("discovery names a lifecycle that is not known here; its entry is passed over");
+            dispatcher.logOnce("discovery sent an entry with an unknown lifecycle; ignoring the entry");
             return null;
         }
-        long started = e.has("startedAtMs") ? e.get("startedAtMs").getAsLong() * 1_000_000 : 0;
-        return new Entry(id, phase, started, new Rest(
-                e.has("hostPort") ? Configuration.address(text(e, "hostPort")) : null, text(e, "zone"),
-                text(e, "machineType"), e.has("cell") ? e.get("cell").getAsInt() : -1,
-                text(e, "role").equals("leader"), e.has("weight") ? e.get("weight").getAsDouble() : 1));
+        long startedAt = instance.has("startedAtMs") ? instance.get("startedAtMs").getAsLong() * 1_000_000 : 0;
+        return new Entry(id, phase, startedAt, new Attributes(
+                instance.has("hostPort") ? Configuration.address(stringOrEmpty(instance, "hostPort")) : null,
+                stringOrEmpty(instance, "zone"), stringOrEmpty(instance, "machineType"),
+                instance.has("cell") ? instance.get("cell").getAsInt() : -1,
+                stringOrEmpty(instance, "role").equals("leader"),
+                instance.has("weight") ? instance.get("weight").getAsDouble() : 1));
     }
 
-    private static String text(JsonObject object, String name) {
+    private static String stringOrEmpty(JsonObject object, String name) {
         JsonElement value = object.get(name);
         return value == null || value.isJsonNull() ? "" : value.getAsString();
     }
 
-    /** One watch: a chunked answer of one JSON object a line. */
-    private final class Watch extends ChannelInboundHandlerAdapter {
-        private final Source source;
+    /** The connection of one watch. The agent answers with a chunked body that holds one JSON object per line. */
+    private final class WatchHandler extends ChannelInboundHandlerAdapter {
+        private final Watch watch;
         private Channel channel;
-        private ByteBuf lines;
+        private ByteBuf received;
 
-        Watch(Source source) {
-            this.source = source;
+        WatchHandler(Watch watch) {
+            this.watch = watch;
         }
 
         @Override public void handlerAdded(ChannelHandlerContext ctx) {
@@ -205,47 +212,48 @@
         }
 
         @Override public void channelActive(ChannelHandlerContext ctx) {
-            if (!source.wanted()) {
-                ctx.close(); // it was left while its connection came up
+            if (!watch.isOpen()) {
+                ctx.close(); // the watch was closed while its connection was being opened
                 return;
             }
-            long since = ledger.since();
-            InetSocketAddress address = (InetSocketAddress) source.address;
+            long since = reconciler.generation();
+            InetSocketAddress address = (InetSocketAddress) watch.address;
             String path = "/discovery/hosts?follow=1" + (since < 0 ? "" : "&since=" + since);
             var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
             request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
             ctx.writeAndFlush(request);
-            lines = ctx.alloc().buffer();
-            now().up(source);
+            received = ctx.alloc().buffer();
+            reconcilerNow().connected(watch);
         }
 
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
             try {
                 if (message instanceof HttpResponse response && response.status().code() != 200) {
-                    door.counters.add("discovery.refused");
-                    now().broken(source);
+                    dispatcher.counters.add("discovery.refused");
+                    reconcilerNow().failed(watch);
                 }
-                if (message instanceof HttpContent content && source.wanted() && lines != null) {
-                    lines.writeBytes(content.content());
-                    cut();
+                if (message instanceof HttpContent content && watch.isOpen() && received != null) {
+                    received.writeBytes(content.content());
+                    processLines();
                 }
             } finally {
                 ReferenceCountUtil.release(message);
             }
         }
 
-        private void cut() {
-            for (int end = lines.bytesBefore((byte) '\n'); end >= 0 && source.wanted();
-                    end = lines.bytesBefore((byte) '\n')) {
-                String text = lines.readCharSequence(end, StandardCharsets.UTF_8).toString();
-                lines.skipBytes(1);
-                line(source, text);
+        private void processLines() {
+            for (int end = received.bytesBefore((byte) '\n'); end >= 0 && watch.isOpen();
+                    end = received.bytesBefore((byte) '\n')) {
+                String line = received.readCharSequence(end, StandardCharsets.UTF_8).toString();
+                received.skipBytes(1);
+                processLine(watch, line);
             }
-            if (lines.readableBytes() > LONGEST_LINE) {
-                door.logOnce("discovery sent a line beyond all measure");
-                now().broken(source);
+            if (received.readableBytes() > MAX_LINE_BYTES) {
+                dispatcher.logOnce(
+                        "discovery sent a line longer than " + MAX_LINE_BYTES + " bytes; closing the connection");
+                reconcilerNow().failed(watch);
             }
-            lines.discardSomeReadBytes();
+            received.discardSomeReadBytes();
         }
 
         void close() {
@@ -255,11 +263,11 @@
         }
 
         @Override public void channelInactive(ChannelHandlerContext ctx) {
-            if (lines != null) {
-                lines.release();
-                lines = null;
+            if (received != null) {
+                received.release();
+                received = null;
             }
-            now().broken(source);
+            reconcilerNow().failed(watch);
         }
 
         @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
