--- a/src/test/java/reedquay/net/Agent.java
+++ b/src/test/java/reedquay/net/ScriptedAgent.java
@@ -14,23 +14,23 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** A scripted discovery agent: it admits watches and writes to the last one what the test says, byte by byte. */
-final class Agent implements AutoCloseable {
+/** A discovery agent controlled by a test: accepts watches and sends the given lines to the one awaited last. */
+final class ScriptedAgent implements AutoCloseable {
     private final ServerSocket listener;
-    private final BlockingQueue<Socket> watches = new LinkedBlockingQueue<>();
-    /** The request lines, in their order. */
-    final List<String> asked = new CopyOnWriteArrayList<>();
+    private final BlockingQueue<Socket> pendingWatches = new LinkedBlockingQueue<>();
+    /** The HTTP request lines received, in order. */
+    final List<String> requestLines = new CopyOnWriteArrayList<>();
     private Socket watch;
 
-    Agent() {
+    ScriptedAgent() {
         try {
             listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        Thread accepts = new Thread(this::accept, "agent");
-        accepts.setDaemon(true);
-        accepts.start();
+        Thread acceptThread = new Thread(this::accept, "agent");
+        acceptThread.setDaemon(true);
+        acceptThread.start();
     }
 
     private void accept() {
@@ -40,14 +40,14 @@
                 socket.setTcpNoDelay(true);
                 BufferedReader in = new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-                asked.add(in.readLine());
+                requestLines.add(in.readLine());
                 for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) { }
                 socket.getOutputStream().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         .getBytes(StandardCharsets.US_ASCII));
-                watches.add(socket);
+                pendingWatches.add(socket);
             }
         } catch (IOException e) {
-            return; // closed
+            return; // the listener was closed
         }
     }
 
@@ -55,14 +55,14 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Waits for the next watch; what is said goes to it from now on. */
-    Agent watched() throws InterruptedException {
-        watch = watches.take();
+    /** Waits for the next watch, which gets what is sent from now on. */
+    ScriptedAgent awaitWatch() throws InterruptedException {
+        watch = pendingWatches.take();
         return this;
     }
 
-    /** One line, each byte in a chunk and a write of its own. */
-    void say(String line) throws IOException {
+    /** Sends one line, each byte in its own chunk and write. */
+    void sendBytewise(String line) throws IOException {
         OutputStream out = watch.getOutputStream();
         for (byte b : (line + "\n").getBytes(StandardCharsets.UTF_8)) {
             out.write(new byte[] {'1', '\r', '\n', b, '\r', '\n'});
@@ -70,19 +70,19 @@
         out.flush();
     }
 
-    /** One line in one write. */
-    void sayAtOnce(String line) throws IOException {
+    /** Sends one line in one chunk and one write. */
+    void sendAtOnce(String line) throws IOException {
         byte[] bytes = (line + "\n").getBytes(StandardCharsets.UTF_8);
-        byte[] head = (Integer.toHexString(bytes.length) + "\r\n").getBytes(StandardCharsets.US_ASCII);
-        byte[] all = new byte[head.length + bytes.length + 2];
-        System.arraycopy(head, 0, all, 0, head.length);
-        System.arraycopy(bytes, 0, all, head.length, bytes.length);
-        all[all.length - 2] = '\r';
-        all[all.length - 1] = '\n';
-        watch.getOutputStream().write(all);
+        byte[] chunkHeader = (Integer.toHexString(bytes.length) + "\r\n").getBytes(StandardCharsets.US_ASCII);
+        byte[] chunk = new byte[chunkHeader.length + bytes.length + 2];
+        System.arraycopy(chunkHeader, 0, chunk, 0, chunkHeader.length);
+        System.arraycopy(bytes, 0, chunk, chunkHeader.length, bytes.length);
+        chunk[chunk.length - 2] = '\r';
+        chunk[chunk.length - 1] = '\n';
+        watch.getOutputStream().write(chunk);
     }
 
-    void end() throws IOException {
+    void endWatch() throws IOException {
         watch.close();
     }
 
@@ -91,7 +91,7 @@
         if (watch != null) {
             watch.close();
         }
-        for (Socket socket : watches) {
+        for (Socket socket : pendingWatches) {
             socket.close();
         }
     }
