--- a/src/main/java/reedquay/sim/SimHost.java
+++ b/src/main/java/reedquay/sim/SimHost.java
@@ -14,38 +14,39 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeMap;
-import reedquay.core.RoutingEngine;
 import reedquay.core.RoutingActions;
+import reedquay.core.RoutingEngine;
 import reedquay.core.Settings;
 import reedquay.route.Router;
 
-/** Reads batches of the simulator's wire, hands them to one Router an instance, and writes the replies. */
+/** Reads batches of lines in the simulator's protocol, runs a routing engine per instance, and writes the replies. */
 public final class SimHost {
-    /** Makes the decisions of one instance. */
+    /** Creates the routing engine of one instance. */
     public interface RoutingEngineFactory {
-        RoutingEngine create(Settings settings, RoutingActions effects);
+        RoutingEngine create(Settings settings, RoutingActions actions);
     }
 
-    private final RoutingEngineFactory maker;
-    private final TreeMap<Long, Gateway> gateways = new TreeMap<>();
+    private final RoutingEngineFactory engineFactory;
+    private final TreeMap<Long, SimGateway> gateways = new TreeMap<>();
     private final String[][] lists = new String[16][];
-    private final Set<Gateway> touched = new LinkedHashSet<>();
-    private Gateway about;
-    private long aboutId = -1;
+    private final Set<SimGateway> addressed = new LinkedHashSet<>(); // instances named in this batch
+    private SimGateway current; // the instance that the lines after an ABOUT go to; null if it is not started
+    private long currentId = -1;
     private long now;
 
-    public SimHost(RoutingEngineFactory maker) {
-        this.maker = maker;
+    public SimHost(RoutingEngineFactory engineFactory) {
+        this.engineFactory = engineFactory;
     }
 
-    /** Serves until the end of input; the exit status. */
+    /** Serves with a Router per instance until the end of input. Returns the exit status: 1 for malformed input. */
     public static int serve(InputStream in, OutputStream out, PrintStream err) throws IOException {
         return serve(Router::new, in, out, err);
     }
 
-    /** The same with other decisions. */
-    public static int serve(RoutingEngineFactory maker, InputStream in, OutputStream out, PrintStream err) throws IOException {
-        SimHost host = new SimHost(maker);
+    /** Serves with the engines of a factory until the end of input. Returns the exit status: 1 for malformed input. */
+    public static int serve(RoutingEngineFactory engineFactory, InputStream in, OutputStream out, PrintStream err)
+            throws IOException {
+        SimHost host = new SimHost(engineFactory);
         var reader = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         List<String> batch = new ArrayList<>();
         for (String line = reader.readLine(); line != null; line = reader.readLine()) {
@@ -56,7 +57,7 @@
             String reply;
             try {
                 reply = host.reply(batch);
-            } catch (Fields.Malformed e) {
+            } catch (LineReader.MalformedLineException e) {
                 err.println("reedquay: " + e.getMessage());
                 return 1;
             }
@@ -71,99 +72,104 @@
         return 0;
     }
 
-    /** The reply to the lines of one batch, from MARK to FLUSH. */
+    /**
+     * Returns the reply to the lines of one batch, from MARK to FLUSH. An exception in an engine is reported in a CRASH
+     * line, which replaces the rest of the reply. Throws MalformedLineException for input that breaks the protocol.
+     */
     public String reply(List<String> batch) {
-        touched.clear();
-        about = null;
-        aboutId = -1;
+        addressed.clear();
+        current = null;
+        currentId = -1;
         StringBuilder out = new StringBuilder();
         try {
-            for (int i = 0; i < batch.size(); i++) {
-                Fields line = new Fields(batch.get(i));
-                String name = line.name();
-                if (i == 0 != name.equals("MARK")) {
-                    throw line.bad("one MARK, in the first line of a batch");
+            for (int index = 0; index < batch.size(); index++) {
+                LineReader line = new LineReader(batch.get(index));
+                String name = line.messageName();
+                if (index == 0 != name.equals("MARK")) {
+                    throw line.malformed("one MARK, in the first line of a batch");
                 }
-                i += event(name, line, batch, i);
+                index += handle(name, line, batch, index);
             }
-            for (Gateway gateway : touched) {
-                aboutId = gateway.id;
+            for (SimGateway gateway : addressed) {
+                currentId = gateway.id;
                 gateway.end(out);
             }
-        } catch (Fields.Malformed e) {
+        } catch (LineReader.MalformedLineException e) {
             throw e;
         } catch (RuntimeException | StackOverflowError e) {
             out.setLength(0);
             StringWriter trace = new StringWriter();
             e.printStackTrace(new PrintWriter(trace));
             String text = trace.toString().replace('\n', '|').replaceAll("\\s+", " ");
-            out.append("AS ").append(aboutId).append("\nCRASH ");
+            out.append("AS ").append(currentId).append("\nCRASH ");
             out.append(text, 0, Math.min(1500, text.length())).append('\n');
         }
         return out.append("YIELD\n").toString();
     }
 
-    /** Handles the event in line i; how many further lines belonged to it. */
-    private int event(String name, Fields line, List<String> batch, int i) {
+    /** Handles the event in line index; returns how many of the following lines belong to it. */
+    private int handle(String name, LineReader line, List<String> batch, int index) {
         switch (name) {
-            case "MARK" -> now = line.millis("the clock in milliseconds");
+            case "MARK" -> now = line.millis("the clock time in milliseconds");
             case "FLUSH" -> { }
             case "ABOUT" -> {
-                aboutId = line.integer("an instance");
-                about = gateways.get(aboutId);
-                touch();
+                currentId = line.integer("an instance number");
+                current = gateways.get(currentId);
+                beginCurrent();
             }
             case "DEFINE_LIST" -> {
-                return define(line, batch, i);
+                return defineList(line, batch, index);
             }
             case "SPAWN" -> {
-                if (aboutId < 0) {
-                    throw line.bad("ABOUT before SPAWN");
+                if (currentId < 0) {
+                    throw line.malformed("ABOUT before SPAWN");
                 }
-                touched.remove(about);
+                addressed.remove(current);
                 long seed = line.integer("a seed");
-                about = new Gateway(aboutId, seed, line, maker);
-                gateways.put(aboutId, about);
-                touch();
+                current = new SimGateway(currentId, seed, line, engineFactory);
+                gateways.put(currentId, current);
+                beginCurrent();
             }
             case "KILL" -> {
-                touched.remove(named(line));
-                gateways.remove(aboutId);
-                about = null;
+                addressed.remove(requireCurrent(line));
+                gateways.remove(currentId);
+                current = null;
             }
-            default -> named(line).event(name, line, lists);
+            default -> requireCurrent(line).handle(name, line, lists);
         }
         return 0;
     }
 
-    private int define(Fields line, List<String> batch, int i) {
-        long ref = line.integer("a list number from 0 to 15");
+    private int defineList(LineReader line, List<String> batch, int index) {
+        long listNumber = line.integer("a list number from 0 to 15");
         long count = line.integer("the number of entries");
-        if (ref < 0 || ref > 15 || count < 0 || i + count >= batch.size()) {
-            throw line.bad("a list number from 0 to 15 and as many SERVER lines as it says");
+        if (listNumber < 0 || listNumber > 15 || count < 0 || index + count >= batch.size()) {
+            throw line.malformed("a list number from 0 to 15 and as many SERVER lines as the number of entries");
         }
         String[] entries = new String[(int) count];
-        for (int k = 0; k < count; k++) {
-            entries[k] = batch.get(i + 1 + k);
-            Fields entry = new Fields(entries[k]);
-            if (!entry.name().equals("SERVER")) {
-                throw entry.bad("SERVER");
+        for (int entryIndex = 0; entryIndex < count; entryIndex++) {
+            entries[entryIndex] = batch.get(index + 1 + entryIndex);
+            LineReader entry = new LineReader(entries[entryIndex]);
+            if (!entry.messageName().equals("SERVER")) {
+                throw entry.malformed("SERVER");
             }
         }
-        lists[(int) ref] = entries;
+        lists[(int) listNumber] = entries;
         return (int) count;
     }
 
-    private Gateway named(Fields line) {
-        if (about == null) {
-            throw line.bad("ABOUT with a started instance before this line");
+    /** The instance that a line goes to; throws MalformedLineException if there is none. */
+    private SimGateway requireCurrent(LineReader line) {
+        if (current == null) {
+            throw line.malformed("ABOUT with a running instance before this line");
         }
-        return about;
+        return current;
     }
 
-    private void touch() {
-        if (about != null && touched.add(about)) {
-            about.begin(now);
+    /** Begins the batch on the current instance, once per batch. */
+    private void beginCurrent() {
+        if (current != null && addressed.add(current)) {
+            current.begin(now);
         }
     }
 }
