--- a/lab/src/main/java/reedquay/lab/FleetCommand.java
+++ b/lab/src/main/java/reedquay/lab/FleetCommand.java
@@ -8,74 +8,81 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import reedquay.core.Method;
-import reedquay.lab.Fleet.Count;
-import reedquay.lab.Fleet.Troubles;
+import reedquay.lab.FleetSimulation.Disturbances;
+import reedquay.lab.FleetSimulation.MethodCounts;
 
-/** What each method has in a fleet of quiet gateways, by drawn mixes or odd ones; exits with 1 for broken rules. */
+/** Simulates fleets of gateways and prints the service of each method. Exits with 1 if a rule was violated. */
 @Command(name = "fleet", mixinStandardHelpOptions = true,
-        description = "Many quiet gateways before the same members, the rules checked; simulated time.")
+        description = "Simulates many gateways with little traffic each before the same members, and checks the rules.")
 final class FleetCommand implements Callable<Integer> {
     @Option(names = "--from", defaultValue = "0", description = "the first seed; default ${DEFAULT-VALUE}")
-    private long from;
-    @Option(names = "--seeds", defaultValue = "12", description = "how many; default ${DEFAULT-VALUE}")
+    private long firstSeed;
+    @Option(names = "--seeds", defaultValue = "12", description = "number of seeds; default ${DEFAULT-VALUE}")
     private int seeds;
-    @Option(names = "--seconds", defaultValue = "16", description = "of traffic; default ${DEFAULT-VALUE}")
+    @Option(names = "--seconds", defaultValue = "16", description = "seconds of traffic; default ${DEFAULT-VALUE}")
     private int seconds;
-    @Option(names = "--odd", description = "an odd mix instead of a drawn one: ${COMPLETION-CANDIDATES}")
-    private Mix.Odd odd;
-    @Option(names = "--calm", description = "no troubles")
-    private boolean calm;
+    @Option(names = "--odd", description = "an edge-case mix instead of a random one: ${COMPLETION-CANDIDATES}")
+    private TrafficMix.EdgeCase edgeCase;
+    @Option(names = "--calm", description = "no lag, replacements or restarts")
+    private boolean undisturbed;
 
     @Override public Integer call() {
         System.out.println("| seed | gateways | troubles | least served, of the best | methods: need, utility, part,"
                 + " served in time | broken rules |\n| --- | --- | --- | --- | --- | --- |");
-        boolean broken = false;
-        for (long seed = from; seed < from + seeds; seed++) {
-            Fleet fleet = odd == null ? Fleet.drawn(seed)
-                    : new Fleet(seed, Mix.odd(odd, new SplittableRandom(seed)), 3, 6, 80, 80);
-            Troubles troubles = calm ? new Troubles(false, false, false) : usual(seed);
-            fleet.run(seconds, load(seed), troubles);
-            List<String> each = new ArrayList<>();
-            fleet.counts().forEach((m, c) -> each.add(String.format(Locale.ROOT, "%s %.0f %.2f: %.2f", m.consistency(),
-                    m.utility(), fleet.part(m), c.served())));
-            System.out.printf(Locale.ROOT, "| %d | %d | %s | %.2f | %s | %s |%n", seed, fleet.gateways(),
-                    words(troubles), least(fleet), String.join("; ", each), fleet.broken());
-            broken |= !fleet.broken().isEmpty();
+        boolean violated = false;
+        for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
+            FleetSimulation fleet = edgeCase == null ? FleetSimulation.withRandomMix(seed)
+                    : new FleetSimulation(seed, TrafficMix.edgeCase(edgeCase, new SplittableRandom(seed)), 3, 6, 80,
+                            80);
+            Disturbances disturbances = undisturbed ? new Disturbances(false, false, false) : disturbancesFor(seed);
+            fleet.run(seconds, loadFor(seed), disturbances);
+            List<String> methodCells = new ArrayList<>();
+            fleet.counts().forEach((method, methodCounts) -> methodCells.add(String.format(Locale.ROOT,
+                    "%s %.0f %.2f: %.2f", method.consistency(), method.utility(), fleet.trafficShare(method),
+                    methodCounts.servedShare())));
+            System.out.printf(Locale.ROOT, "| %d | %d | %s | %.2f | %s | %s |%n", seed, fleet.configuredGateways(),
+                    describe(disturbances), leastServedRatio(fleet), String.join("; ", methodCells),
+                    fleet.violations());
+            violated |= !fleet.violations().isEmpty();
         }
-        return broken ? 1 : 0;
+        return violated ? 1 : 0;
     }
 
-    /** Troubles by seed: every second one is of replacements and restarts, every third of replicas that lag. */
-    static Troubles usual(long seed) {
-        return new Troubles(seed % 3 == 2, seed % 2 == 1, seed % 2 == 1);
+    /** Disturbances by seed: replacements and restarts for every second seed, lagging replicas for every third. */
+    static Disturbances disturbancesFor(long seed) {
+        return new Disturbances(seed % 3 == 2, seed % 2 == 1, seed % 2 == 1);
     }
 
-    /** Of what the members can do. */
-    static double load(long seed) {
+    /** The load by seed, as a share of the members' capacity. */
+    static double loadFor(long seed) {
         return 0.35 + new SplittableRandom(seed + 1).nextDouble() * 0.2;
     }
 
-    /** The method least served of those with a twentieth of the traffic and time to be served in, beside the best. */
-    static double least(Fleet fleet) {
+    /**
+     * The served share of the worst-served method over that of the best-served one. The worst is taken from methods
+     * with at least a twentieth of the traffic and a soft deadline above zero.
+     */
+    static double leastServedRatio(FleetSimulation fleet) {
         double least = 1;
         double best = 0;
-        for (Method m : fleet.counts().keySet()) {
-            Count count = fleet.counts().get(m);
-            least = fleet.part(m) >= 0.05 && m.softDeadline() > 0 ? Math.min(least, count.served()) : least;
-            best = Math.max(best, count.served());
+        for (Method method : fleet.counts().keySet()) {
+            MethodCounts methodCounts = fleet.counts().get(method);
+            least = fleet.trafficShare(method) >= 0.05 && method.softDeadline() > 0
+                    ? Math.min(least, methodCounts.servedShare()) : least;
+            best = Math.max(best, methodCounts.servedShare());
         }
         return least / best;
     }
 
-    private static String words(Troubles troubles) {
+    private static String describe(Disturbances disturbances) {
         List<String> words = new ArrayList<>();
-        if (troubles.lags()) {
+        if (disturbances.replicasLag()) {
             words.add("lag");
         }
-        if (troubles.replaced()) {
+        if (disturbances.membersReplaced()) {
             words.add("replaced");
         }
-        if (troubles.restarts()) {
+        if (disturbances.gatewaysRestart()) {
             words.add("restarts");
         }
         return words.isEmpty() ? "none" : String.join(", ", words);
