--- a/src/test/java/reedquay/route/RulesTest.java
+++ b/src/test/java/reedquay/route/RulesTest.java
@@ -10,8 +10,8 @@
 import reedquay.core.Method.RetrySafety;
 import reedquay.core.Method.Consistency;
 import reedquay.core.Method.DeduplicationScope;
-import reedquay.fair.Terms;
-import reedquay.fair.Turns;
+import reedquay.fair.AdmissionSettings;
+import reedquay.fair.AdmissionController;
 
 /** The five rules as a slow plain model, beside a Router on generated inputs. */
 class RulesTest {
@@ -281,7 +281,7 @@
 
     /** A Router behind a door with hardly a place to wait; two can be inside at a time from the first sign on. */
     private static RoutingEngine behindTheDoor(Settings settings, RoutingActions effects) {
-        Turns turns = new Turns(settings, new Terms(16, Map.of("others", 2.0)), effects);
+        AdmissionController turns = new AdmissionController(settings, new AdmissionSettings(16, Map.of("others", 2.0)), effects);
         return turns.setNext(new Router(settings, turns));
     }
 
