--- a/lab/src/main/java/reedquay/lab/FleetSimulation.java
+++ b/lab/src/main/java/reedquay/lab/FleetSimulation.java
@@ -72,7 +72,11 @@
         boolean everPrimary;
         boolean up = true;
         long replicationDelay; // time from a commit on the primary until it is applied here
-        long lagsFrom = Long.MAX_VALUE; // from then on replication stands still, so its position never decreases
+        /**
+         * When replication stops; it stays stopped until the data is MAX_LAG_NANOS older than usual. A lag that began at
+         * once would move the position back, and a position never decreases.
+         */
+        long lagsFrom = Long.MAX_VALUE;
 
         SimulatedMember(String id, int group, long startedAt) {
             this.id = id;
