--- a/src/main/java/reedquay/members/MembershipReconciler.java
+++ b/src/main/java/reedquay/members/MembershipReconciler.java
@@ -11,8 +11,8 @@
 
 /**
  * Merges the member lists of several discovery agents into the one list in force, and decides which agents are watched.
- * Every list carries a generation; generations are comparable across all agents and order their updates. The class has
- * no connection, clock or thread: a front calls it with each event and its time, and carries out its Actions.
+ * Lists carry generations, which are comparable across all agents and order their updates. The class has no
+ * connection, clock or thread: a front calls it with each event and its time, and carries out its Actions.
  */
 public final class MembershipReconciler {
     /** What the reconciler has its front do; carried out in the order of the calls. */
