--- a/lab/src/main/java/reedquay/lab/FleetSimulation.java
+++ b/lab/src/main/java/reedquay/lab/FleetSimulation.java
@@ -73,8 +73,8 @@
         boolean up = true;
         long replicationDelay; // time from a commit on the primary until it is applied here
         /**
-         * When replication stops; it stays stopped until the data is MAX_LAG_NANOS older than usual. A lag that began at
-         * once would move the position back, and a position never decreases.
+         * When replication stops; it stays stopped until the data is MAX_LAG_NANOS older than usual. A lag that began
+         * at once would move the position back, and a position never decreases.
          */
         long lagsFrom = Long.MAX_VALUE;
 
