--- a/src/test/java/reedquay/sim/WireTest.java
+++ b/src/test/java/reedquay/sim/WireTest.java
@@ -85,7 +85,7 @@
         assertEquals(0, SimHost.serve(new ByteArrayInputStream(new byte[0]), System.out, System.err));
     }
 
-    @Test void exceptionInTheDeciderIsReportedAsCrash() {
+    @Test void exceptionInTheEngineIsReportedAsCrash() {
         SimHost broken = new SimHost((settings, effects) -> {
             throw new IllegalStateException("engine failed");
         });
