--- a/src/main/java/reedquay/fair/AdmissionController.java
+++ b/src/main/java/reedquay/fair/AdmissionController.java
@@ -254,7 +254,7 @@
         TrafficClass[] classes = rpc.method == null ? null : classesByGroup.get(rpc.group);
         AdmissionEntry entry = new AdmissionEntry(rpc, classes == null ? null : classes[isRead(rpc.method) ? 0 : 1],
                 tenantIndex(rpc), now);
-        rpc.filterState = entry;
+        rpc.stageState = entry;
         entry.sampled = (++arrivals & 3) == 0;
         tenantCounters.get(entry.tenant).arrived++;
         apply(entry, Input.ARRIVED);
@@ -289,7 +289,7 @@
 
     @Override public void callOutEnded(CallOut callOut, Outcome outcome, long latency, boolean ended, long position,
             Role role, LoadReport report) {
-        AdmissionEntry entry = (AdmissionEntry) callOut.rpc.filterState;
+        AdmissionEntry entry = (AdmissionEntry) callOut.rpc.stageState;
         if (outcome == Outcome.OK && isMeasured(entry)) {
             costsOf(callOut.rpc.method).add(latency);
         }
@@ -304,7 +304,7 @@
     }
 
     @Override public void sendCallOut(CallOut callOut, long limit) {
-        AdmissionEntry entry = (AdmissionEntry) callOut.rpc.filterState;
+        AdmissionEntry entry = (AdmissionEntry) callOut.rpc.stageState;
         if (!entry.calledOut && entry.trafficClass != null && limitedByCapacityOnly(callOut.rpc)) {
             entry.heldByRouter = now > entry.admittedAt;
             // without a recent answer the members are gone or unknown rather than full
@@ -319,7 +319,7 @@
     }
 
     @Override public void clientGone(Rpc rpc) {
-        AdmissionEntry entry = (AdmissionEntry) rpc.filterState;
+        AdmissionEntry entry = (AdmissionEntry) rpc.stageState;
         apply(entry, Input.TERMINATED);
         if (entry.forwarded) { // the Router doesn't know RPCs that only waited here
             next.clientGone(rpc);
@@ -327,11 +327,11 @@
     }
 
     @Override public String explain(Rpc rpc) {
-        return ((AdmissionEntry) rpc.filterState).forwarded ? next.explain(rpc) : "at the door, " + pushbackReason;
+        return ((AdmissionEntry) rpc.stageState).forwarded ? next.explain(rpc) : "at the door, " + pushbackReason;
     }
 
     @Override public void deadlineShortened(Rpc rpc) {
-        AdmissionEntry entry = (AdmissionEntry) rpc.filterState;
+        AdmissionEntry entry = (AdmissionEntry) rpc.stageState;
         if (entry.state == State.WAITING) { // a shutdown may come before it is admitted, and would leave it unanswered
             removeFromWheel(entry);
             entry.expiresAt = Math.min(entry.expiresAt,
@@ -344,14 +344,14 @@
 
     @Override public void pushBack(Rpc rpc, long retryAfter) {
         pushbackReason = PushbackReason.MEMBERS;
-        AdmissionEntry entry = (AdmissionEntry) rpc.filterState;
+        AdmissionEntry entry = (AdmissionEntry) rpc.stageState;
         tenantCounters.get(entry.tenant).pushbacks[PushbackReason.MEMBERS.ordinal()]++;
         apply(entry, Input.PUSHED_BACK);
         actions.pushBack(rpc, entry.trafficClass == null ? retryAfter : retryAfterRouterPushback(entry, retryAfter));
     }
 
     @Override public void abort(Rpc rpc) {
-        apply((AdmissionEntry) rpc.filterState, Input.TERMINATED);
+        apply((AdmissionEntry) rpc.stageState, Input.TERMINATED);
         actions.abort(rpc);
     }
 
--- a/src/test/java/reedquay/fair/AdmissionControllerTest.java
+++ b/src/test/java/reedquay/fair/AdmissionControllerTest.java
@@ -233,17 +233,17 @@
         for (int i = 0; i < 100; i++) {
             rpcs.add(harness.arrive("c" + i, WRITE, 60_000));
         }
-        rpcs.forEach(r -> keys.add(((AdmissionEntry) r.filterState).clientKey));
+        rpcs.forEach(r -> keys.add(((AdmissionEntry) r.stageState).clientKey));
         assertEquals(100, keys.size());
         harness.now += 64 * 400 * MS;
         harness.alarmAt = Long.MAX_VALUE;
         for (Rpc r : rpcs) { // none expires here
-            ((AdmissionEntry) r.filterState).expiresAt += 1_000_000 * MS;
+            ((AdmissionEntry) r.stageState).expiresAt += 1_000_000 * MS;
         }
         long waitingBefore = harness.waiting();
         harness.runBatch(() -> { });
         rpcs.stream().filter(r -> !r.ended && !harness.everAdmitted.contains(r))
-                .forEach(r -> assertTrue(keys.add(((AdmissionEntry) r.filterState).clientKey),
+                .forEach(r -> assertTrue(keys.add(((AdmissionEntry) r.stageState).clientKey),
                         "a new key for each client"));
         assertEquals(waitingBefore, harness.waiting() + harness.pushedBack.size());
     }
