--- a/example/StandIn.java
+++ b/example/StandIn.java
@@ -164,7 +164,7 @@
         public void start(int at) {
             listener = listen(at, new ChannelInitializer<Channel>() {
                 @Override protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(FrameDecoder.ofClient(1 << 20), new Session(Server.this));
+                    channel.pipeline().addLast(FrameDecoder.forClient(1 << 20), new Session(Server.this));
                 }
             });
             port = ((InetSocketAddress) listener.localAddress()).getPort();
@@ -210,15 +210,15 @@
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
             Frame frame = (Frame) message;
             try {
-                if (frame.type == Frame.FIRST) {
+                if (frame.type == Frame.UNTYPED) {
                     if (server.fault.equals("crowded")) {
-                        ctx.writeAndFlush(Messages.error(ctx.alloc().buffer(), "FATAL", "53300", "crowded", null));
+                        ctx.writeAndFlush(Messages.errorResponse(ctx.alloc().buffer(), "FATAL", "53300", "crowded", null));
                         ctx.close();
                     } else if (!server.fault.equals("mute")) {
-                        ctx.write(Messages.ready(Messages.welcome(ctx.alloc().buffer(), 1, 1)));
+                        ctx.write(Messages.readyForQuery(Messages.startupResponse(ctx.alloc().buffer(), 1, 1)));
                     }
                 } else if (frame.type == 'Q') {
-                    query(ctx, frame.text(0));
+                    query(ctx, frame.stringAt(0));
                 } else {
                     ctx.close();
                 }
@@ -237,11 +237,11 @@
                     return;
                 }
                 row(out, text.equals("SELECT 1") ? "1" : "x0=" + server.position() / 1000.0);
-                ctx.write(Messages.ready(out));
+                ctx.write(Messages.readyForQuery(out));
                 return;
             }
             if (text.isBlank()) {
-                ctx.write(Messages.ready(Messages.emptyQuery(out)));
+                ctx.write(Messages.readyForQuery(Messages.emptyQueryResponse(out)));
                 return;
             }
             server.statements.add(text);
@@ -282,8 +282,8 @@
         }
 
         private void refuse(ChannelHandlerContext ctx, ByteBuf out, String code) {
-            Messages.error(out, "ERROR", code, "as told", null);
-            ctx.write(Messages.ready(about(out, server.position())));
+            Messages.errorResponse(out, "ERROR", code, "as told", null);
+            ctx.write(Messages.readyForQuery(about(out, server.position())));
         }
 
         private void answer(ChannelHandlerContext ctx, ByteBuf out, String sql, boolean commented) {
@@ -329,7 +329,7 @@
                     ctx.close();
                     return;
                 }
-                Messages.ready(about(out, server.fault.equals("future") ? 1L << 60 : position));
+                Messages.readyForQuery(about(out, server.fault.equals("future") ? 1L << 60 : position));
                 ByteBuf all = out.copy();
                 ctx.write(out);
                 if (server.fault.equals("twice") || server.fault.equals("noise")) {
@@ -340,12 +340,12 @@
         }
 
         private ByteBuf about(ByteBuf out, long position) {
-            Messages.parameter(out, "node_role", server.primary ? "leader" : "follower");
-            return Messages.parameter(out, "replay_position", Long.toString(position));
+            Messages.parameterStatus(out, "node_role", server.primary ? "leader" : "follower");
+            return Messages.parameterStatus(out, "replay_position", Long.toString(position));
         }
 
         private void row(ByteBuf out, String value) {
-            Messages.complete(Messages.row(Messages.columns(out, "data"), value), "SELECT 1");
+            Messages.commandComplete(Messages.dataRow(Messages.rowDescription(out, "data"), value), "SELECT 1");
         }
     }
 
--- a/lab/src/main/java/reedquay/lab/Load.java
+++ b/lab/src/main/java/reedquay/lab/Load.java
@@ -203,7 +203,7 @@
         new Bootstrap().group(group).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(FrameDecoder.ofServer(1 << 20), new Link());
+                        channel.pipeline().addLast(FrameDecoder.forServer(1 << 20), new Link());
                     }
                 }).connect(address).addListener(f -> open -= f.isSuccess() ? 0 : 1);
     }
@@ -250,7 +250,7 @@
 
         @Override public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            ctx.writeAndFlush(Messages.startup(ctx.alloc().buffer(), "portal", "crm"));
+            ctx.writeAndFlush(Messages.startupMessage(ctx.alloc().buffer(), "portal", "crm"));
         }
 
         void send(Request r) {
@@ -267,7 +267,7 @@
             Frame frame = (Frame) message;
             try {
                 if (frame.type == 'E') {
-                    Map<Character, String> fields = new HashMap<>(frame.fields());
+                    Map<Character, String> fields = new HashMap<>(frame.errorFields());
                     error = fields.getOrDefault('C', "");
                     String detail = fields.getOrDefault('D', "0");
                     after = detail.matches("[0-9]{1,9}") ? Long.parseLong(detail) : 0;
--- a/src/main/java/reedquay/Main.java
+++ b/src/main/java/reedquay/Main.java
@@ -7,7 +7,7 @@
 import reedquay.cli.Commands;
 import reedquay.net.Configuration;
 import reedquay.net.Gateway;
-import reedquay.net.Rehearsal;
+import reedquay.net.WarmUp;
 import reedquay.ops.Fronts;
 import reedquay.ops.Operated;
 import reedquay.sim.SimHost;
@@ -57,7 +57,7 @@
     /** Plays RPCs of the configuration's settings within the process. The exit status. */
     public static int rehearse(String config) {
         try {
-            System.out.println("rehearsed " + Rehearsal.run(Files.readString(Path.of(config))).get("rpc.taken")
+            System.out.println("rehearsed " + WarmUp.run(Files.readString(Path.of(config))).get("rpc.taken")
                     + " RPCs");
         } catch (IOException | RuntimeException e) {
             System.err.println("reedquay: the rehearsal ended early: " + e.getMessage());
--- a/src/main/java/reedquay/net/Callers.java
+++ b/src/main/java/reedquay/net/ClientIdentifier.java
@@ -1,7 +1,7 @@
 package reedquay.net;
 
 /** How clients are told apart: what a session or its statement says of who calls. */
-public record Callers(Kind kind, String parameter) {
+public record ClientIdentifier(Kind kind, String parameter) {
     public enum Kind {
         /** The quoted key that names a statement's session. */
         KEY,
@@ -16,12 +16,12 @@
     }
 
     /** Null where nothing is known but the tenant. */
-    String of(ClientSession session, Statement statement) {
+    String identify(ClientSession session, Statement statement) {
         return switch (kind) {
             case KEY -> statement.session;
-            case CONNECTION -> session.number();
-            case ADDRESS -> session.host();
-            case PARAMETER -> session.parameter(parameter);
+            case CONNECTION -> session.connectionId();
+            case ADDRESS -> session.clientAddress();
+            case PARAMETER -> session.startupParameter(parameter);
             case TENANT -> null;
         };
     }
--- a/src/main/java/reedquay/net/ClientSession.java
+++ b/src/main/java/reedquay/net/ClientSession.java
@@ -25,9 +25,9 @@
 
     private static final int TURN = 16; // messages taken from one client before the others have their turn
 
-    final FrameDecoder decoder = FrameDecoder.ofClient(Limits.LONGEST_MESSAGE);
+    final FrameDecoder decoder = FrameDecoder.forClient(Limits.MAX_MESSAGE_BYTES);
     private final Gateway gateway;
-    private final Door door;
+    private final Dispatcher door;
     private final ArrayDeque<Frame> ahead = new ArrayDeque<>();
     private int aheadBytes;
     private State state = State.FIRST;
@@ -37,16 +37,16 @@
     private boolean draining;
     private boolean counted;
     private boolean used; // something has come behind its startup
-    private long came;
+    private long connectedAt;
     private String refusal; // what is wrong with what it sent, told once all that came before is answered
     private long since; // when it was last seen to owe nothing; before its first message, when it came
     private int partial; // bytes of a message that is not whole
     private int turn;
     private boolean yielded;
     private Map<String, String> parameters; // of its startup, where somebody asks for them
-    private String host;
+    private String clientAddress;
 
-    ClientSession(Gateway gateway, Door door) {
+    ClientSession(Gateway gateway, Dispatcher door) {
         this.gateway = gateway;
         this.door = door;
     }
@@ -57,46 +57,46 @@
 
     @Override public void channelActive(ChannelHandlerContext ctx) {
         counted = true;
-        came = door.clock.now();
-        since = came;
+        connectedAt = door.clock.now();
+        since = connectedAt;
         door.counters.add("client.accepted");
-        gateway.opened(this);
+        gateway.sessionOpened(this);
     }
 
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         Frame frame = (Frame) message;
         if (state != State.FIRST) {
-            since = gateway.sweptAt();
+            since = gateway.lastSweepAt();
         }
         ahead.addLast(frame);
-        aheadBytes += Limits.cost(frame);
-        door.limits.hold(Limits.cost(frame));
-        takeNext();
+        aheadBytes += Limits.memoryCost(frame);
+        door.limits.addHeldBytes(Limits.memoryCost(frame));
+        processQueue();
     }
 
     @Override public void channelReadComplete(ChannelHandlerContext ctx) {
         ctx.flush();
-        partial(decoder.waiting());
+        setPartialBytes(decoder.bufferedBytes());
     }
 
-    private void partial(int bytes) {
+    private void setPartialBytes(int bytes) {
         int more = bytes - partial;
         partial = bytes;
         if (counted) {
-            gateway.partial(more);
+            gateway.addPartialBytes(more);
         }
     }
 
-    int partial() {
+    int partialBytes() {
         return partial;
     }
 
     @Override public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        takeNext();
+        processQueue();
     }
 
     /** Works through what has come, as far as the one RPC in hand and a client that reads allow. */
-    private void takeNext() {
+    private void processQueue() {
         while (!ahead.isEmpty() && state != State.IN_HAND && state != State.BLOCKED
                 && (channel.isWritable() || state == State.CLOSING)) {
             if (++turn > TURN) { // guards the others against hundreds of commands at once
@@ -104,30 +104,30 @@
                     yielded = true;
                     channel.eventLoop().execute(this::nextTurn);
                 }
-                gateway.free(this, false);
+                gateway.setIdle(this, false);
                 return;
             }
             Frame frame = ahead.pollFirst();
-            aheadBytes -= Limits.cost(frame);
+            aheadBytes -= Limits.memoryCost(frame);
             try {
-                take(frame);
+                handle(frame);
             } finally {
                 release(frame);
             }
         }
         boolean nothing = ahead.isEmpty() && state != State.IN_HAND && state != State.BLOCKED;
         if (nothing && refusal != null && state != State.CLOSING) {
-            fatal("08P01", refusal);
+            sendFatalError("08P01", refusal);
         }
         if (state == State.CLOSING) {
             return; // what still comes is passed over
         }
         // a client that sends ahead without end, or reads nothing, is not read from; nobody is while memory is short
-        channel.config().setAutoRead(aheadBytes <= door.limits.waitingBytes && !door.limits.full());
+        channel.config().setAutoRead(aheadBytes <= door.limits.maxQueuedBytes && !door.limits.isMemoryFull());
         if (draining && state == State.FREE && ahead.isEmpty()) {
-            end();
+            closeAfterFlush();
         }
-        gateway.free(this, state == State.FREE && ahead.isEmpty());
+        gateway.setIdle(this, state == State.FREE && ahead.isEmpty());
     }
 
     private void nextTurn() {
@@ -142,14 +142,14 @@
      */
     void sweep(long now, long linger) {
         if (state == State.CLOSING) {
-            if (now - since >= (refusal == null ? Limits.UNUSED : linger)) { // a last answer may still be on its way
+            if (now - since >= (refusal == null ? Limits.UNUSED_TIMEOUT_NANOS : linger)) { // a last answer may still be on its way
                 channel.close();
             }
-        } else if (state != State.FIRST && !decoder.begun() || !channel.config().isAutoRead()) {
+        } else if (state != State.FIRST && !decoder.hasPartialMessage() || !channel.config().isAutoRead()) {
             since = now;
-        } else if (now - since >= Limits.UNUSED) {
-            if (decoder.begun()) {
-                refuse("a message that does not end");
+        } else if (now - since >= Limits.UNUSED_TIMEOUT_NANOS) {
+            if (decoder.hasPartialMessage()) {
+                rejectInput("a message that does not end");
             } else {
                 door.counters.add("client.closed.silent");
                 channel.close();
@@ -157,162 +157,162 @@
         }
     }
 
-    long came() {
-        return came;
+    long connectedAt() {
+        return connectedAt;
     }
 
     /** Whether it is not read from for want of memory. */
-    boolean stalled() {
-        return !channel.config().isAutoRead() && aheadBytes <= door.limits.waitingBytes && state != State.CLOSING;
+    boolean isPausedForMemory() {
+        return !channel.config().isAutoRead() && aheadBytes <= door.limits.maxQueuedBytes && state != State.CLOSING;
     }
 
     /** What it sends can't be read from here on. Guards what came before: an RPC taken stays owed its answer. */
-    void refuse(String kind) {
+    void rejectInput(String kind) {
         if (refusal == null && state != State.CLOSING) {
             refusal = kind;
-            decoder.discard();
-            partial(0);
-            takeNext();
+            decoder.discardInput();
+            setPartialBytes(0);
+            processQueue();
             channel.flush();
         }
     }
 
-    private void take(Frame frame) {
+    private void handle(Frame frame) {
         if (state == State.CLOSING) {
             return;
         }
-        if (frame.type == Frame.FIRST) {
-            first(frame);
+        if (frame.type == Frame.UNTYPED) {
+            handleStartup(frame);
             return;
         }
         if (!used) {
             used = true;
-            gateway.used(this);
+            gateway.commandReceived(this);
         }
         switch (frame.type) {
             case 'Q' -> {
                 if (state == State.SKIPPING) {
                     return;
                 }
-                query(frame);
+                handleQuery(frame);
             }
-            case 'X' -> end();
+            case 'X' -> closeAfterFlush();
             case 'P', 'B', 'D', 'E', 'C', 'F' -> {
                 if (state != State.SKIPPING) {
-                    write(Messages.error(buffer(), "ERROR", "0A000", "only simple queries are served", null));
+                    write(Messages.errorResponse(buffer(), "ERROR", "0A000", "only simple queries are served", null));
                     state = State.SKIPPING;
                 }
             }
             case 'S' -> {
                 state = State.FREE;
-                write(Messages.ready(buffer()));
+                write(Messages.readyForQuery(buffer()));
             }
             case 'H', 'd', 'c', 'f' -> { }
-            default -> fatal("08P01", "a message that has no meaning here");
+            default -> sendFatalError("08P01", "a message that has no meaning here");
         }
     }
 
-    private void first(Frame frame) {
-        switch (frame.code()) {
-            case Frame.SSL, Frame.GSS -> write(buffer().writeByte('N'));
-            case Frame.CANCEL -> end();
+    private void handleStartup(Frame frame) {
+        switch (frame.startupCode()) {
+            case Frame.SSL_REQUEST, Frame.GSS_ENCRYPTION_REQUEST -> write(buffer().writeByte('N'));
+            case Frame.CANCEL_REQUEST -> closeAfterFlush();
             default -> {
-                if (frame.code() >>> 16 != 3) {
-                    fatal("0A000", "only version 3 of the protocol is served");
+                if (frame.startupCode() >>> 16 != 3) {
+                    sendFatalError("0A000", "only version 3 of the protocol is served");
                     return;
                 }
                 state = State.FREE;
-                parameters = gateway.callers() == null ? null : frame.parameters();
-                gateway.spoke(this);
-                write(Messages.ready(Messages.welcome(buffer(), 1, 1)));
+                parameters = gateway.clientIdentifier() == null ? null : frame.startupParameters();
+                gateway.startupReceived(this);
+                write(Messages.readyForQuery(Messages.startupResponse(buffer(), 1, 1)));
             }
         }
     }
 
-    private void query(Frame frame) {
-        if (frame.startsWith("/*")) { // nearly all of them
-            rpc(frame);
+    private void handleQuery(Frame frame) {
+        if (frame.bodyStartsWith("/*")) { // nearly all of them
+            startRpc(frame);
             return;
         }
-        String head = frame.text(0);
+        String head = frame.stringAt(0);
         String word = head.length() > 64 ? "" : head.strip().replaceAll("[;\\s]+$", "").toUpperCase(Locale.ROOT);
         if (word.isEmpty() && head.length() <= 64) {
             state = State.BLOCKED;
-            gateway.whenReady(this::answerEmpty);
+            gateway.whenReady(this::answerEmptyQuery);
         } else if (word.equals("SHOW COUNTERS")) {
-            showCounters();
-        } else if (word.matches("SHOW [A-Z]+") && gateway.show(word.substring(5).toLowerCase(Locale.ROOT)) != null) {
-            List<String[]> table = gateway.show(word.substring(5).toLowerCase(Locale.ROOT));
-            show(table.subList(1, table.size()), table.get(0));
+            sendCounters();
+        } else if (word.matches("SHOW [A-Z]+") && gateway.showTable(word.substring(5).toLowerCase(Locale.ROOT)) != null) {
+            List<String[]> table = gateway.showTable(word.substring(5).toLowerCase(Locale.ROOT));
+            sendTable(table.subList(1, table.size()), table.get(0));
         } else if (word.matches("(SET|RESET|DISCARD)( .*)?")) {
-            write(Messages.ready(Messages.complete(buffer(), word.replaceAll(" .*", ""))));
+            write(Messages.readyForQuery(Messages.commandComplete(buffer(), word.replaceAll(" .*", ""))));
         } else {
-            rpc(frame);
+            startRpc(frame);
         }
     }
 
-    private void answerEmpty() {
+    private void answerEmptyQuery() {
         if (state == State.BLOCKED) {
             state = State.FREE;
-            write(Messages.ready(Messages.emptyQuery(buffer())));
-            takeNext();
+            write(Messages.readyForQuery(Messages.emptyQueryResponse(buffer())));
+            processQueue();
             channel.flush();
         }
     }
 
-    private void showCounters() {
+    private void sendCounters() {
         List<String[]> rows = new ArrayList<>();
-        door.counts().forEach((name, value) -> rows.add(new String[] {name, value.toString()}));
-        show(rows, "name", "value");
+        door.allCounters().forEach((name, value) -> rows.add(new String[] {name, value.toString()}));
+        sendTable(rows, "name", "value");
     }
 
-    private void show(List<String[]> rows, String... names) {
-        ByteBuf out = Messages.columns(buffer(), names);
-        rows.forEach(row -> Messages.row(out, row));
-        write(Messages.ready(Messages.complete(out, "SELECT " + rows.size())));
+    private void sendTable(List<String[]> rows, String... names) {
+        ByteBuf out = Messages.rowDescription(buffer(), names);
+        rows.forEach(row -> Messages.dataRow(out, row));
+        write(Messages.readyForQuery(Messages.commandComplete(out, "SELECT " + rows.size())));
     }
 
-    private void rpc(Frame frame) {
+    private void startRpc(Frame frame) {
         Statement next;
         try {
             next = new Statement(frame);
             Method method = door.method(next.method);
             if (method == null) {
-                throw new Statement.Unfit("no class has that name");
+                throw new Statement.InvalidStatementException("no class has that name");
             }
-            next.check(method);
-            if (door.isOpen(next.id)) {
-                throw new Statement.Unfit("the id is that of an RPC that is open");
+            next.validateFor(method);
+            if (door.isInFlight(next.id)) {
+                throw new Statement.InvalidStatementException("the id is that of an RPC that is open");
             }
-        } catch (Statement.Unfit e) {
+        } catch (Statement.InvalidStatementException e) {
             door.counters.add("client.unfit");
             door.logOnce("a client sent what cannot be routed: " + e.getMessage());
-            write(Messages.ready(Messages.error(buffer(), "ERROR", "42601", e.getMessage(), null)));
+            write(Messages.readyForQuery(Messages.errorResponse(buffer(), "ERROR", "42601", e.getMessage(), null)));
             return;
         }
         frame.retain(); // until its final answer
-        door.limits.hold(Limits.cost(frame));
+        door.limits.addHeldBytes(Limits.memoryCost(frame));
         statement = next;
         state = State.IN_HAND;
-        rpc = door.arrived(this, statement, gateway.callers());
+        rpc = door.acceptRpc(this, statement, gateway.clientIdentifier());
         Rpc taken = rpc;
-        door.input(d -> d.arrived(taken));
+        door.submitInput(d -> d.arrived(taken));
     }
 
     /** A name for this connection that no other has while it lives. */
-    String number() {
+    String connectionId() {
         return channel.id().asShortText();
     }
 
     /** Where it comes from, without the port. */
-    String host() {
-        if (host == null && channel.remoteAddress() instanceof InetSocketAddress from) {
-            host = from.getAddress().getHostAddress();
+    String clientAddress() {
+        if (clientAddress == null && channel.remoteAddress() instanceof InetSocketAddress from) {
+            clientAddress = from.getAddress().getHostAddress();
         }
-        return host;
+        return clientAddress;
     }
 
-    String parameter(String name) {
+    String startupParameter(String name) {
         return parameters == null ? null : parameters.get(name);
     }
 
@@ -321,38 +321,38 @@
     }
 
     /** The final answer as the member's bytes. */
-    void serve(List<Frame> frames) {
+    void sendResult(List<Frame> frames) {
         frames.forEach(f -> channel.write(f.content().retain()));
-        answered(Messages.ready(buffer()));
+        finishRpc(Messages.readyForQuery(buffer()));
     }
 
     /** The final answer as an error; millis: when to come back, null for no advice. */
-    void refuse(String code, String message, String millis) {
-        answered(Messages.ready(Messages.error(buffer(), "ERROR", code, message, millis)));
+    void sendError(String code, String message, String millis) {
+        finishRpc(Messages.readyForQuery(Messages.errorResponse(buffer(), "ERROR", code, message, millis)));
     }
 
-    private void answered(ByteBuf last) {
+    private void finishRpc(ByteBuf last) {
         channel.writeAndFlush(last);
-        settle();
+        clearRpc();
         state = State.FREE;
         // guards against an RPC that is taken from within the batch of decisions that answered the last one
-        door.afterwards(this::resume);
+        door.runAfterBatch(this::resume);
     }
 
     /** Goes on with what came ahead, or reads again. */
     void resume() {
         if (channel.isActive()) {
-            takeNext();
+            processQueue();
             channel.flush();
         }
     }
 
     private void release(Frame frame) {
-        door.limits.hold(-Limits.cost(frame));
+        door.limits.addHeldBytes(-Limits.memoryCost(frame));
         frame.release();
     }
 
-    private void settle() {
+    private void clearRpc() {
         rpc = null;
         if (statement != null) {
             release(statement.frame);
@@ -364,11 +364,11 @@
     void drain() {
         draining = true;
         if (state == State.FREE && ahead.isEmpty() || state == State.FIRST || state == State.BLOCKED) {
-            end();
+            closeAfterFlush();
         }
     }
 
-    void end() {
+    void closeAfterFlush() {
         state = State.CLOSING;
         since = door.clock.now();
         channel.writeAndFlush(channel.alloc().buffer(0)).addListener(ChannelFutureListener.CLOSE);
@@ -378,15 +378,15 @@
      * The error goes out and the sending ends; what still comes is passed over within a bound of bytes and, by the
      * sweep, of time. Guards the error: closed at once, a connection with unread bytes is reset, which can overtake it.
      */
-    private void fatal(String code, String message) {
+    private void sendFatalError(String code, String message) {
         door.counters.add("client.malformed");
         door.logOnce("a client sent what the protocol does not allow: " + message);
         state = State.CLOSING;
         since = door.clock.now();
-        decoder.discard();
-        partial(0);
+        decoder.discardInput();
+        setPartialBytes(0);
         channel.config().setAutoRead(true);
-        channel.writeAndFlush(Messages.error(buffer(), "FATAL", code, message, null)).addListener(f -> {
+        channel.writeAndFlush(Messages.errorResponse(buffer(), "FATAL", code, message, null)).addListener(f -> {
             if (channel instanceof SocketChannel socket) {
                 socket.shutdownOutput();
             } else {
@@ -397,17 +397,17 @@
 
     @Override public void channelInactive(ChannelHandlerContext ctx) {
         state = State.CLOSING;
-        partial(0);
+        setPartialBytes(0);
         ahead.forEach(this::release);
         ahead.clear();
         if (rpc != null) {
             Rpc left = rpc;
-            settle();
-            door.clientGone(left);
+            clearRpc();
+            door.clientDisconnected(left);
         }
         if (counted) {
             counted = false;
-            gateway.closed(this);
+            gateway.sessionClosed(this);
         }
     }
 
@@ -415,7 +415,7 @@
         if (cause instanceof java.io.IOException) {
             ctx.close();
         } else if (cause instanceof DecoderException) {
-            refuse("what is no message, or one of an impossible length");
+            rejectInput("what is no message, or one of an impossible length");
         } else { // guards the others: whatever else went wrong here ends here
             door.counters.add("client.failed");
             door.logOnce("a session failed: " + cause.getClass().getSimpleName());
--- a/src/main/java/reedquay/net/Configuration.java
+++ b/src/main/java/reedquay/net/Configuration.java
@@ -20,7 +20,7 @@
 
 /** What a gateway is told before it starts. */
 public record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int memoryMb, int sockets, JsonObject known, SettingsReader settings) {
+        int memoryMb, int sockets, JsonObject rememberedMembers, SettingsReader settings) {
 
     /** Reads the JSON file that the platform writes. Throws IllegalArgumentException where it is unfit. */
     public static Configuration read(Path file) throws IOException {
@@ -32,10 +32,10 @@
             JsonObject all = JsonParser.parseString(json).getAsJsonObject();
             JsonObject limits = all.has("limits") ? all.getAsJsonObject("limits") : new JsonObject();
             Map<String, String> pairs = new TreeMap<>();
-            flatten("", needed(all, "settings"), pairs);
+            flatten("", required(all, "settings"), pairs);
             String seed = all.has("seed") ? all.get("seed").getAsString() : "0";
             return new Configuration(all.has("name") ? all.get("name").getAsString() : "gateway",
-                    address(needed(all, "listen").getAsString()), address(needed(all, "discovery").getAsString()),
+                    address(required(all, "listen").getAsString()), address(required(all, "discovery").getAsString()),
                     new BigInteger(seed, 16).longValue(),
                     limits.has("memory_mb") ? limits.get("memory_mb").getAsInt() : 192,
                     limits.has("sockets") ? limits.get("sockets").getAsInt() : 1024,
@@ -47,7 +47,7 @@
     }
 
     /** What the next one changes that a running gateway cannot, in words; empty for nothing. */
-    String needsRestartFor(Configuration next) {
+    String changesNeedingRestart(Configuration next) {
         List<String> unlike = new ArrayList<>();
         if (!name.equals(next.name)) {
             unlike.add("name");
@@ -64,7 +64,7 @@
         return String.join(", ", unlike);
     }
 
-    private static JsonElement needed(JsonObject all, String name) {
+    private static JsonElement required(JsonObject all, String name) {
         if (!all.has(name)) {
             throw new IllegalArgumentException("the configuration lacks " + name);
         }
--- a/src/main/java/reedquay/net/Counters.java
+++ b/src/main/java/reedquay/net/Counters.java
@@ -22,7 +22,7 @@
     }
 
     /** How late a timer of the event loop rang, in a few coarse bins. */
-    void late(long nanos) {
+    void recordTimerDelay(long nanos) {
         int bin = 0;
         while (bin < LATE_MILLIS.length && nanos >= LATE_MILLIS[bin] * 1_000_000) {
             bin++;
@@ -36,7 +36,7 @@
     }
 
     /** What must hold: asserted in debug builds, counted in release builds. */
-    void must(boolean holds, String what) {
+    void check(boolean holds, String what) {
         assert holds : what;
         if (!holds) {
             add("broken." + what);
@@ -44,7 +44,7 @@
     }
 
     /** All of them now, in the order of their names. */
-    public Map<String, Long> read() {
+    public Map<String, Long> snapshot() {
         Map<String, Long> all = new TreeMap<>();
         counts.forEach((name, count) -> all.put(name, count[0]));
         gauges.forEach((name, value) -> all.put(name, value.getAsLong()));
--- a/src/main/java/reedquay/net/Discovery.java
+++ b/src/main/java/reedquay/net/Discovery.java
@@ -37,12 +37,12 @@
     private static final long BEAT = 2_000_000_000; // an empty line comes that often while nothing changes
     private static final int LONGEST_LINE = 4 << 20;
 
-    private final Door door;
+    private final Dispatcher door;
     private final Bootstrap bootstrap;
     private final EventLoop loop;
     private final Ledger ledger;
 
-    Discovery(Door door, Bootstrap bootstrap, EventLoop loop) {
+    Discovery(Dispatcher door, Bootstrap bootstrap, EventLoop loop) {
         this.door = door;
         this.bootstrap = bootstrap;
         this.loop = loop;
@@ -114,12 +114,12 @@
             Rest rest = (Rest) entry.rest();
             Pool pool = door.pool(entry.id());
             if (rest.where != null) {
-                pool.located(rest.where, entry.startedAt());
+                pool.updateLocation(rest.where, entry.startedAt());
             }
             listed.add(new Listed(pool.member, rest.zone, rest.kind, rest.group, entry.phase(), rest.primary, rest.size,
                     entry.startedAt()));
         }
-        door.listed(kind, listed);
+        door.membersListed(kind, listed);
     }
 
     @Override public void count(String what) {
--- a/src/main/java/reedquay/net/Door.java
+++ b/src/main/java/reedquay/net/Dispatcher.java
@@ -33,11 +33,11 @@
 import reedquay.pg.Messages;
 
 /** Turns what happens on sockets into the decisions' inputs, and their effects into writes; decides nothing. */
-final class Door implements Effects {
+final class Dispatcher implements Effects {
     private static final System.Logger LOG = System.getLogger("reedquay");
     private static final int KEPT_COMPLAINTS = 64;
 
-    final Clock clock;
+    final MonotonicClock clock;
     final Limits limits;
     final Counters counters;
     final Reports reports;
@@ -51,16 +51,16 @@
     private final Set<String> complained = new HashSet<>();
     private final Map<Long, Rpc> open = new LinkedHashMap<>(); // the RPCs in hand by their ids
     private final ArrayDeque<Consumer<Decider>> inputs = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> afterwards = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> runAfterBatch = new ArrayDeque<>();
     private final ArrayDeque<MemberConnection> settling = new ArrayDeque<>(); // those that have answered, in order
     private boolean inBatch;
     private boolean goingOn; // what came afterwards is being run
     private ScheduledFuture<?> alarm;
-    private long answerBy = Long.MAX_VALUE;
-    private int inHand;
-    private int probesOut;
+    private long answerAllBy = Long.MAX_VALUE;
+    private int inFlight;
+    private int outstandingProbes;
 
-    Door(EventLoop loop, Bootstrap bootstrap, Clock clock, Limits limits, Counters counters,
+    Dispatcher(EventLoop loop, Bootstrap bootstrap, MonotonicClock clock, Limits limits, Counters counters,
             SettingsReader reader, long seed, BiFunction<Settings, Effects, Decider> maker) {
         this.loop = loop;
         this.bootstrap = bootstrap;
@@ -71,15 +71,15 @@
         reports = reader.reports(0); // Unix time, whatever zero the settings name
         settings.methods().forEach(m -> methods.put(m.name(), m));
         decider = maker.apply(settings, this);
-        counters.gauge("rpc.inhand", () -> inHand);
+        counters.gauge("rpc.inhand", () -> inFlight);
         counters.gauge("member.known", pools::size);
     }
 
     // ---- Inputs ----
 
     /** All counters now, those of stages before the decisions too. */
-    Map<String, Long> counts() {
-        Map<String, Long> all = counters.read();
+    Map<String, Long> allCounters() {
+        Map<String, Long> all = counters.snapshot();
         if (decider instanceof Stage stage) {
             stage.counts(all);
         }
@@ -87,12 +87,12 @@
     }
 
     /** A table that a stage before the decisions has; null for none. */
-    List<String[]> show(String what) {
+    List<String[]> showTable(String what) {
         return decider instanceof Stage stage ? stage.show(what) : null;
     }
 
     /** One input is one batch; what an effect brings about at once is the next batch's. */
-    void input(Consumer<Decider> next) {
+    void submitInput(Consumer<Decider> next) {
         inputs.addLast(next);
         if (inBatch) {
             return;
@@ -100,7 +100,7 @@
         inBatch = true;
         try {
             while (!inputs.isEmpty()) {
-                batch(inputs.pollFirst());
+                runBatch(inputs.pollFirst());
             }
         } finally {
             inBatch = false;
@@ -110,9 +110,9 @@
         }
         goingOn = true;
         try {
-            while (!afterwards.isEmpty()) {
+            while (!runAfterBatch.isEmpty()) {
                 try {
-                    afterwards.pollFirst().run();
+                    runAfterBatch.pollFirst().run();
                 } catch (RuntimeException e) { // one session's fault must not take the others with it
                     counters.add("broken.session");
                     logOnce("a session could not go on: " + e);
@@ -123,7 +123,7 @@
         }
     }
 
-    private void batch(Consumer<Decider> input) {
+    private void runBatch(Consumer<Decider> input) {
         try {
             decider.begin(clock.now());
             input.accept(decider);
@@ -135,12 +135,12 @@
     }
 
     /** Runs it behind the batch that is under way or is about to begin: an answer is told to the decisions first. */
-    void afterwards(Runnable then) {
-        afterwards.addLast(then);
+    void runAfterBatch(Runnable then) {
+        runAfterBatch.addLast(then);
     }
 
     /** Whether an RPC of that id has no final answer yet. */
-    boolean isOpen(long id) {
+    boolean isInFlight(long id) {
         return open.containsKey(id);
     }
 
@@ -149,48 +149,48 @@
     }
 
     /** Guards against the kill that ends a stop: nothing is in hand then. */
-    void answerBy(long time) {
-        answerBy = time;
+    void answerAllBy(long time) {
+        answerAllBy = time;
         for (Rpc rpc : List.copyOf(open.values())) {
             if (rpc.due > time) { // its client would wait for longer than this gateway lives
                 rpc.due = time;
-                input(d -> d.dueSooner(rpc));
+                submitInput(d -> d.dueSooner(rpc));
             }
         }
     }
 
     /** An RPC was read whole. */
-    Rpc arrived(ClientSession session, Statement statement, Callers callers) {
+    Rpc acceptRpc(ClientSession session, Statement statement, ClientIdentifier callers) {
         long now = clock.now();
-        long sees = statement.after == 0 ? 0 : reports.position(statement.after, false);
-        long tokenAge = statement.after == 0 ? 0 : Math.max(1, now - sees); // 0 would stand for none
+        long sees = statement.minPositionMillis == 0 ? 0 : reports.position(statement.minPositionMillis, false);
+        long tokenAge = statement.minPositionMillis == 0 ? 0 : Math.max(1, now - sees); // 0 would stand for none
         Method method = methods.get(statement.method); // a client waits for no longer than its deadline
         Rpc rpc = new Rpc(statement.id, statement.group, statement.session,
-                Math.min(now + Math.min(statement.waitMillis * 1_000_000, method.deadline()), answerBy),
+                Math.min(now + Math.min(statement.waitMillis * 1_000_000, method.deadline()), answerAllBy),
                 statement.retry, tokenAge, statement.tenant, method);
         rpc.front = session;
-        rpc.caller = callers == null ? null : callers.of(session, statement);
-        inHand++;
+        rpc.caller = callers == null ? null : callers.identify(session, statement);
+        inFlight++;
         open.put(rpc.id, rpc);
         counters.add("rpc.taken");
-        trace.taken(rpc, now);
+        trace.rpcAccepted(rpc, now);
         return rpc;
     }
 
-    void clientGone(Rpc rpc) {
+    void clientDisconnected(Rpc rpc) {
         if (!rpc.ended) {
             rpc.ended = true;
-            inHand--;
+            inFlight--;
             open.remove(rpc.id);
             counters.add("rpc.clientgone");
-            trace.answered(rpc, "left by its client", "");
-            input(d -> d.clientGone(rpc));
+            trace.rpcEnded(rpc, "left by its client", "");
+            submitInput(d -> d.clientGone(rpc));
         }
     }
 
-    void listed(Listed.ListKind kind, List<Listed> entries) {
-        trace.listed(entries);
-        input(d -> d.list(kind, entries));
+    void membersListed(Listed.ListKind kind, List<Listed> entries) {
+        trace.membersListed(entries);
+        submitInput(d -> d.list(kind, entries));
     }
 
     Pool pool(String id) {
@@ -202,64 +202,64 @@
     }
 
     /** A member has answered a send whole. */
-    void answered(Send send, MemberConnection.Answer answer) {
-        Outcome outcome = answer.error == null ? Outcome.OK : switch (answer.error) {
+    void responseReceived(MemberRequest send, MemberConnection.Response answer) {
+        Outcome outcome = answer.sqlState == null ? Outcome.OK : switch (answer.sqlState) {
             case "25006", "72000" -> Outcome.MISS;
             case "53300" -> Outcome.FULL;
             default -> Outcome.ERROR;
         };
-        Report report = MemberConnection.report(this, answer, send.callOut == null);
+        Report report = MemberConnection.parseLoadReport(this, answer, send.callOut == null);
         boolean commit = outcome == Outcome.OK && send.callOut != null
                 && send.callOut.rpc.method.need() == Method.Need.WRITE;
-        long position = answer.positioned ? reports.position(answer.millis, commit) : Report.NO_POSITION;
+        long position = answer.hasPosition ? reports.position(answer.positionMillis, commit) : Report.NO_POSITION;
         if (send.callOut == null && report == Report.NONE) {
             report = new Report(position, answer.role, -1, -1, -1);
         }
-        finish(send, outcome, answer, position, answer.role, report);
+        completeRequest(send, outcome, answer, position, answer.role, report);
         answer.release();
     }
 
     /** A send ended without an answer. */
-    void ended(Send send, Outcome outcome) {
-        finish(send, outcome, null, Report.NO_POSITION, Role.UNKNOWN, Report.NONE);
+    void requestFailed(MemberRequest send, Outcome outcome) {
+        completeRequest(send, outcome, null, Report.NO_POSITION, Role.UNKNOWN, Report.NONE);
     }
 
-    private void finish(Send send, Outcome outcome, MemberConnection.Answer answer, long position, Role role,
+    private void completeRequest(MemberRequest send, Outcome outcome, MemberConnection.Response answer, long position, Role role,
             Report report) {
-        counters.must(!send.done, "one outcome for each send");
-        if (send.done) {
+        counters.check(!send.completed, "one outcome for each send");
+        if (send.completed) {
             return;
         }
-        send.done = true;
+        send.completed = true;
         CallOut callOut = send.callOut;
         if (callOut == null) {
             counters.add("probe." + outcome);
-            probesOut--;
+            outstandingProbes--;
             long took = clock.now() - send.startedAt;
-            input(d -> d.probed(send.pool.member, outcome, took, report));
+            submitInput(d -> d.probed(send.pool.member, outcome, took, report));
             return;
         }
         counters.add("callout." + outcome);
-        trace.ended(callOut, outcome, clock.now() - callOut.sentAt);
+        trace.callOutEnded(callOut, outcome, clock.now() - callOut.sentAt);
         callOut.ended = true;
         callOut.waiting = false;
         Rpc rpc = callOut.rpc;
         if (outcome == Outcome.OK && !rpc.ended) {
-            finalAnswer(rpc, "rpc.ok", false);
-            ((ClientSession) rpc.front).serve(answer.frames);
+            recordFinalAnswer(rpc, "rpc.ok", false);
+            ((ClientSession) rpc.front).sendResult(answer.frames);
         }
         long took = clock.now() - callOut.sentAt;
         boolean ended = rpc.ended;
-        input(d -> d.done(callOut, outcome, took, ended, position, role, report));
+        submitInput(d -> d.done(callOut, outcome, took, ended, position, role, report));
     }
 
-    private void finalAnswer(Rpc rpc, String how, boolean decided) {
-        counters.must(!rpc.ended, "one final answer for each RPC");
+    private void recordFinalAnswer(Rpc rpc, String how, boolean decided) {
+        counters.check(!rpc.ended, "one final answer for each RPC");
         rpc.ended = true;
-        inHand--;
+        inFlight--;
         open.remove(rpc.id);
         counters.add(how);
-        trace.answered(rpc, how, decided && trace.on ? decider.why(rpc) : "");
+        trace.rpcEnded(rpc, how, decided && trace.enabled ? decider.why(rpc) : "");
     }
 
     // ---- Effects ----
@@ -267,7 +267,7 @@
     @Override public void callOut(CallOut callOut, long limit) {
         Pool pool = (Pool) callOut.member.front;
         long until = limit > 0 ? Math.min(callOut.rpc.due, callOut.sentAt + limit) : callOut.rpc.due;
-        Send send = new Send(callOut, pool, callOut.sentAt, until);
+        MemberRequest send = new MemberRequest(callOut, pool, callOut.sentAt, until);
         callOut.front = send;
         counters.add("callout");
         callOut.waiting = true;
@@ -275,50 +275,50 @@
     }
 
     @Override public void go(CallOut callOut) {
-        Send send = (Send) callOut.front;
-        if (!send.done) {
-            send.connection.write(send);
+        MemberRequest send = (MemberRequest) callOut.front;
+        if (!send.completed) {
+            send.connection.send(send);
         }
     }
 
     @Override public void cancel(CallOut callOut) {
-        Send send = (Send) callOut.front;
-        if (send.done) {
+        MemberRequest send = (MemberRequest) callOut.front;
+        if (send.completed) {
             return;
         }
         MemberConnection connection = send.connection;
         if (connection != null && connection.state == MemberConnection.State.BUSY) {
             counters.add("member.closed.cancel");
-            connection.giveUp();
-            ended(send, Outcome.CANCELLED);
+            connection.abandon();
+            requestFailed(send, Outcome.CANCELLED);
         } else {
             send.pool.withdraw(send);
-            ended(send, Outcome.NEVER_SENT);
+            requestFailed(send, Outcome.NEVER_SENT);
         }
     }
 
     @Override public void pushBack(Rpc rpc, long after) {
-        finalAnswer(rpc, "rpc.pushedback", true);
+        recordFinalAnswer(rpc, "rpc.pushedback", true);
         // rounded up: a client that came earlier would find nothing new
         String millis = after > 0 ? Long.toString((after + 999_999) / 1_000_000) : null;
-        ((ClientSession) rpc.front).refuse("53300", "no room for this statement now; trying again is harmless", millis);
+        ((ClientSession) rpc.front).sendError("53300", "no room for this statement now; trying again is harmless", millis);
     }
 
     @Override public void abort(Rpc rpc) {
-        finalAnswer(rpc, "rpc.aborted", true);
-        ((ClientSession) rpc.front).refuse("58000", "the statement failed and may have run", null);
+        recordFinalAnswer(rpc, "rpc.aborted", true);
+        ((ClientSession) rpc.front).sendError("58000", "the statement failed and may have run", null);
     }
 
     @Override public void probe(Member member) {
-        probesOut++;
+        outstandingProbes++;
         counters.add("probe");
         long now = clock.now();
-        ((Pool) member.front).submit(new Send(null, (Pool) member.front, now,
+        ((Pool) member.front).submit(new MemberRequest(null, (Pool) member.front, now,
                 now + settings.allowed().connectTimeout()));
     }
 
     @Override public void closeIdle(Member member) {
-        ((Pool) member.front).dropIdle("aside");
+        ((Pool) member.front).closeAllIdle("aside");
     }
 
     @Override public void forget(Member member) {
@@ -333,8 +333,8 @@
         long at = clock.now() + delay;
         alarm = loop.schedule(() -> {
             alarm = null;
-            counters.late(clock.now() - at);
-            input(d -> { });
+            counters.recordTimerDelay(clock.now() - at);
+            submitInput(d -> { });
         }, delay, TimeUnit.NANOSECONDS);
     }
 
@@ -353,46 +353,46 @@
     // ---- What connections ask for ----
 
     /** The connection is told a tick later that it has settled: one timer for all, whatever is under way. */
-    void settle(MemberConnection connection) {
+    void startSettling(MemberConnection connection) {
         connection.idleSince = clock.now() + settings.tick();
         settling.addLast(connection);
         if (settling.size() == 1) {
-            loop.schedule(this::settled, settings.tick(), TimeUnit.NANOSECONDS);
+            loop.schedule(this::releaseSettled, settings.tick(), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void settled() {
+    private void releaseSettled() {
         long now = clock.now();
         while (!settling.isEmpty() && settling.peekFirst().idleSince <= now) {
-            settling.pollFirst().settled();
+            settling.pollFirst().settlingEnded();
         }
         if (!settling.isEmpty()) {
-            loop.schedule(this::settled, settling.peekFirst().idleSince - now, TimeUnit.NANOSECONDS);
+            loop.schedule(this::releaseSettled, settling.peekFirst().idleSince - now, TimeUnit.NANOSECONDS);
         }
     }
 
     /** Guards against reading stale data: a position well ahead of the clock would stand for a fresh one. */
-    boolean credible(long millis) {
+    boolean isPlausiblePosition(long millis) {
         boolean is = millis >= 0 && millis - clock.now() / 1_000_000 <= settings.allowed().connectTimeout() / 1_000_000;
         counters.add("member.position.unreadable", is ? 0 : 1);
         return is;
     }
 
-    ByteBuf query(Send send, ByteBufAllocator allocator) {
-        trace.sent(send.callOut);
+    ByteBuf buildQuery(MemberRequest send, ByteBufAllocator allocator) {
+        trace.callOutSent(send.callOut);
         Rpc rpc = send.callOut.rpc;
-        long left = Math.max(1, (send.until - clock.now()) / 1_000_000);
-        return ((ClientSession) rpc.front).statement().toMember(allocator, left);
+        long left = Math.max(1, (send.deadline - clock.now()) / 1_000_000);
+        return ((ClientSession) rpc.front).statement().queryForMember(allocator, left);
     }
 
-    ByteBuf probeQuery(ByteBufAllocator allocator) {
+    ByteBuf buildProbeQuery(ByteBufAllocator allocator) {
         boolean tells = settings.positions().inProbes();
         return Messages.query(allocator.buffer(32), tells ? "SHOW server_load" : "SELECT 1");
     }
 
     /** Makes room for a connection by closing one that has been idle; false where there is none. */
-    boolean closeIdle() {
-        return pools.values().stream().anyMatch(p -> p.closeOldest(Long.MAX_VALUE, "room"));
+    boolean closeAnyIdleConnection() {
+        return pools.values().stream().anyMatch(p -> p.closeOldestIdle(Long.MAX_VALUE, "room"));
     }
 
     void sweep(long idleFor) {
@@ -400,12 +400,12 @@
         new ArrayList<>(pools.values()).forEach(p -> p.sweep(now, settings.allowed().connectTimeout(), idleFor));
     }
 
-    int inHand() {
-        return inHand;
+    int inFlight() {
+        return inFlight;
     }
 
-    int probesOut() {
-        return probesOut;
+    int outstandingProbes() {
+        return outstandingProbes;
     }
 
     Settings settings() {
--- a/src/main/java/reedquay/net/Gateway.java
+++ b/src/main/java/reedquay/net/Gateway.java
@@ -33,11 +33,11 @@
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
     private final Configuration configuration;
-    private final Callers callers; // null: nobody asks who calls
-    private final Clock clock = new Clock();
+    private final ClientIdentifier clientIdentifier; // null: nobody asks who calls
+    private final MonotonicClock clock = new MonotonicClock();
     private final Counters counters = new Counters();
     private final Limits limits;
-    private final Door door;
+    private final Dispatcher door;
     private final Discovery discovery;
     private final long idleFor;
     private final long sweepEvery;
@@ -48,7 +48,7 @@
     private final List<Runnable> waitingForReady = new ArrayList<>();
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final long startedAt = clock.now();
-    private long sweptAt = startedAt;
+    private long lastSweepAt = startedAt;
     private boolean ready;
     private boolean stopBegan;
     private boolean stopping; // it ends with its last session
@@ -58,37 +58,37 @@
 
     /** Throws IllegalArgumentException where the settings are unfit. */
     public Gateway(Configuration configuration) {
-        this(configuration, new Parts(Router::new, null));
+        this(configuration, new GatewayComponents(Router::new, null));
     }
 
     /** The same with other parts, as stages before the Router. */
-    public Gateway(Configuration configuration, Parts parts) {
+    public Gateway(Configuration configuration, GatewayComponents parts) {
         this.configuration = configuration;
-        callers = parts.callers();
+        clientIdentifier = parts.clientIdentifier();
         limits = new Limits(configuration.sockets(), configuration.memoryMb());
         int connectMillis = 60_000; // never reached: the pool's sweep ends what does not come up in time
         Bootstrap bootstrap = new Bootstrap().group(group).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis);
-        door = new Door(loop, bootstrap, clock, limits, counters, configuration.settings(), configuration.seed(),
-                parts.decider());
+        door = new Dispatcher(loop, bootstrap, clock, limits, counters, configuration.settings(), configuration.seed(),
+                parts.deciderFactory());
         discovery = new Discovery(door, bootstrap, loop);
         listFrom = configuration.discovery();
         long keepalive = configuration.settings().keepalive();
         idleFor = keepalive > 0 ? keepalive / 2 : Long.MAX_VALUE / 2;
         sweepEvery = Math.max(1_000_000, door.settings().allowed().connectTimeout() / 8);
-        counters.gauge("client.open", limits::clientsOpen);
-        counters.gauge("member.open", limits::membersOpen);
-        counters.gauge("client.heldbytes", limits::held);
-        counters.gauge("client.partialbytes", limits::partial);
+        counters.gauge("client.open", limits::openClients);
+        counters.gauge("member.open", limits::openMemberConnections);
+        counters.gauge("client.heldbytes", limits::heldBytes);
+        counters.gauge("client.partialbytes", limits::partialBytes);
     }
 
     /** Listens and follows discovery; the future is the address that clients connect to. */
     public CompletableFuture<InetSocketAddress> start() {
         CompletableFuture<InetSocketAddress> bound = new CompletableFuture<>();
         loop.execute(() -> {
-            if (configuration.known() != null) {
-                discovery.remembered(configuration.known());
+            if (configuration.rememberedMembers() != null) {
+                discovery.remembered(configuration.rememberedMembers());
             }
             discovery.moveTo(configuration.discovery());
             sweep();
@@ -109,7 +109,7 @@
                             bound.complete((InetSocketAddress) listener.localAddress());
                         } else {
                             bound.completeExceptionally(f.cause());
-                            finish();
+                            terminate();
                         }
                     });
         });
@@ -121,15 +121,15 @@
             return;
         }
         long now = clock.now();
-        clock.follow(sweepEvery / 1000);
+        clock.slewTowardsWallClock(sweepEvery / 1000);
         door.sweep(idleFor);
         discovery.sweep();
         checkReady(now);
-        sweptAt = now;
-        int mayResume = limits.full() ? 0 : limits.messagesToCome(); // guards against all of them at once
+        lastSweepAt = now;
+        int mayResume = limits.isMemoryFull() ? 0 : limits.remainingMessages(); // guards against all of them at once
         for (ClientSession session : new ArrayList<>(sessions)) {
             session.sweep(now, door.settings().allowed().connectTimeout());
-            if (mayResume > 0 && session.stalled()) {
+            if (mayResume > 0 && session.isPausedForMemory()) {
                 mayResume--;
                 session.resume();
             }
@@ -138,8 +138,8 @@
     }
 
     private void checkReady(long now) {
-        boolean late = now - startedAt >= patience(door.settings());
-        if (!ready && (discovery.told() && door.probesOut() == 0 || late)) {
+        boolean late = now - startedAt >= startupTimeout(door.settings());
+        if (!ready && (discovery.told() && door.outstandingProbes() == 0 || late)) {
             ready = true;
             waitingForReady.forEach(Runnable::run);
             waitingForReady.clear();
@@ -147,7 +147,7 @@
     }
 
     /** How long a start may take before clients are let in whatever is missing. */
-    static long patience(Settings settings) {
+    static long startupTimeout(Settings settings) {
         return 8 * settings.allowed().connectTimeout();
     }
 
@@ -170,7 +170,7 @@
         try {
             return reload(Configuration.read(file));
         } catch (IOException | RuntimeException e) {
-            return onLoop(() -> {
+            return submitToEventLoop(() -> {
                 counters.add("reload.unfit");
                 door.log("a new configuration cannot be used, the running one stays: " + e.getMessage());
                 return false;
@@ -180,14 +180,14 @@
 
     /** Takes on what can change while running; false where something in it needs a restart, which is logged. */
     public CompletableFuture<Boolean> reload(Configuration next) {
-        return onLoop(() -> {
+        return submitToEventLoop(() -> {
             counters.add("reload");
             if (!next.discovery().equals(listFrom)) {
                 listFrom = next.discovery();
                 counters.add("discovery.moves");
                 discovery.moveTo(listFrom);
             }
-            String unlike = configuration.needsRestartFor(next);
+            String unlike = configuration.changesNeedingRestart(next);
             if (!unlike.isEmpty()) {
                 counters.add("reload.restart");
                 door.log("the new configuration has another " + unlike + ": that needs a restart and is passed over");
@@ -197,15 +197,15 @@
     }
 
     /** Has a change to its parts made on its own thread; false once it has stopped. */
-    public CompletableFuture<Boolean> change(Runnable made) {
-        return onLoop(() -> {
+    public CompletableFuture<Boolean> runOnEventLoop(Runnable made) {
+        return submitToEventLoop(() -> {
             made.run();
             return true;
         });
     }
 
     /** False, and nothing is run, once this gateway has stopped. */
-    private CompletableFuture<Boolean> onLoop(Supplier<Boolean> change) {
+    private CompletableFuture<Boolean> submitToEventLoop(Supplier<Boolean> change) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
         try {
             loop.execute(() -> done.complete(change.get()));
@@ -216,45 +216,45 @@
     }
 
     /** The table of that name, its column names first; null where there is none. Read on the event loop. */
-    List<String[]> show(String what) {
+    List<String[]> showTable(String what) {
         if (!what.equals("discovery")) {
-            return door.show(what);
+            return door.showTable(what);
         }
         List<String[]> rows = new ArrayList<>(discovery.rows());
         rows.add(0, new String[] {"source", "state", "told", "in_force", "heard_ms_ago"});
         return rows;
     }
 
-    Callers callers() {
-        return callers;
+    ClientIdentifier clientIdentifier() {
+        return clientIdentifier;
     }
 
     // ---- Sessions ----
 
-    void opened(ClientSession session) {
+    void sessionOpened(ClientSession session) {
         sessions.add(session);
         unused.add(session);
         if (limits.clientOpened()) {
-            ClientSession least = leastNeeded();
-            closeForRoom(least != null ? least : first(unused), session);
+            ClientSession least = sessionToClose();
+            closeToFreeDescriptor(least != null ? least : first(unused), session);
         }
-        accepting();
+        updateAccepting();
     }
 
     /** It has sent its startup. */
-    void spoke(ClientSession session) {
+    void startupReceived(ClientSession session) {
         spoken.add(session);
-        keepRoom(session);
+        closeExcessSessions(session);
     }
 
     /**
      * Guards against clients that open a connection for each RPC and leave it open: they fill the share of the
      * descriptors that a front allows itself, and it turns RPCs away while nearly all its connections stand free here.
      */
-    private void keepRoom(ClientSession but) {
+    private void closeExcessSessions(ClientSession but) {
         boolean closed = true;
-        while (closed && spoken.size() > limits.spokenWanted) {
-            closed = closeForRoom(leastNeeded(), but);
+        while (closed && spoken.size() > limits.startedSessionsSoftLimit) {
+            closed = closeToFreeDescriptor(sessionToClose(), but);
         }
     }
 
@@ -262,9 +262,9 @@
      * The oldest that has long asked nothing: guards the usual clients against hundreds that say nothing. Else the one
      * longest free. One that has just come is neither: its first statement may lie unread, and it would come again.
      */
-    private ClientSession leastNeeded() {
+    private ClientSession sessionToClose() {
         ClientSession oldest = first(unused);
-        boolean silent = oldest != null && clock.now() - oldest.came() >= door.settings().allowed().connectTimeout();
+        boolean silent = oldest != null && clock.now() - oldest.connectedAt() >= door.settings().allowed().connectTimeout();
         return silent ? oldest : first(free);
     }
 
@@ -272,7 +272,7 @@
         return of.isEmpty() ? null : of.iterator().next();
     }
 
-    private boolean closeForRoom(ClientSession goes, ClientSession but) {
+    private boolean closeToFreeDescriptor(ClientSession goes, ClientSession but) {
         if (goes == null || goes == but) {
             return false;
         }
@@ -280,53 +280,53 @@
         spoken.remove(goes);
         unused.remove(goes);
         free.remove(goes);
-        goes.end();
+        goes.closeAfterFlush();
         return true;
     }
 
-    void closed(ClientSession session) {
+    void sessionClosed(ClientSession session) {
         sessions.remove(session);
         spoken.remove(session);
         unused.remove(session);
         free.remove(session);
         limits.clientClosed();
-        accepting();
+        updateAccepting();
         if (stopping) {
             checkStopped();
         }
     }
 
     /** It has sent something behind its startup. */
-    void used(ClientSession session) {
+    void commandReceived(ClientSession session) {
         unused.remove(session);
     }
 
-    long sweptAt() {
-        return sweptAt;
+    long lastSweepAt() {
+        return lastSweepAt;
     }
 
     /** Guards the memory: where messages that are not whole take too much of it, the longest of them goes. */
-    void partial(int bytes) {
-        limits.partial(bytes);
-        if (bytes > 0 && limits.partialFull()) {
+    void addPartialBytes(int bytes) {
+        limits.addPartialBytes(bytes);
+        if (bytes > 0 && limits.isPartialMemoryFull()) {
             counters.add("client.closed.partial");
-            sessions.stream().max(Comparator.comparingInt(ClientSession::partial)).get()
-                    .refuse("a message begun while memory is short");
+            sessions.stream().max(Comparator.comparingInt(ClientSession::partialBytes)).get()
+                    .rejectInput("a message begun while memory is short");
         }
     }
 
-    void free(ClientSession session, boolean isFree) {
+    void setIdle(ClientSession session, boolean isFree) {
         free.remove(session);
         if (isFree && sessions.contains(session) && !unused.contains(session)) {
             free.add(session);
-            keepRoom(session);
+            closeExcessSessions(session);
         }
     }
 
     /** Guards the descriptors: what the limit leaves no room for waits in the backlog. */
-    private void accepting() {
+    private void updateAccepting() {
         if (listener != null && listening) {
-            listener.config().setAutoRead(limits.clientsOpen() < limits.clients);
+            listener.config().setAutoRead(limits.openClients() < limits.maxClients);
         }
     }
 
@@ -346,18 +346,18 @@
             }
             stopBegan = true;
             List<Method> methods = door.settings().methods();
-            long end = Shutdown.longest(methods.stream().mapToLong(Method::deadline).max().orElse(0));
+            long end = Shutdown.maxDurationNanos(methods.stream().mapToLong(Method::deadline).max().orElse(0));
             long soft = methods.stream().mapToLong(Method::softDeadline).min().orElse(0);
-            door.answerBy(clock.now() + end - sweepEvery);
-            loop.schedule(this::takeNoMore, Shutdown.STILL_COMING, TimeUnit.NANOSECONDS);
-            loop.schedule(this::drain, Math.max(Shutdown.STILL_COMING, end - soft), TimeUnit.NANOSECONDS);
-            loop.schedule(this::finish, end, TimeUnit.NANOSECONDS);
+            door.answerAllBy(clock.now() + end - sweepEvery);
+            loop.schedule(this::stopAccepting, Shutdown.ACCEPT_NANOS, TimeUnit.NANOSECONDS);
+            loop.schedule(this::drainSessions, Math.max(Shutdown.ACCEPT_NANOS, end - soft), TimeUnit.NANOSECONDS);
+            loop.schedule(this::terminate, end, TimeUnit.NANOSECONDS);
         });
         return stopped;
     }
 
     /** What lies in the backlog by now is accepted whatever the limit; the sessions there are go on. */
-    private void takeNoMore() {
+    private void stopAccepting() {
         listening = false;
         stopping = true;
         if (listener != null) {
@@ -369,22 +369,22 @@
 
     /** Ends at once, whatever is in hand. */
     void halt() {
-        loop.execute(this::finish);
+        loop.execute(this::terminate);
         stopped.join();
     }
 
-    private void drain() {
+    private void drainSessions() {
         new ArrayList<>(sessions).forEach(ClientSession::drain);
         checkStopped();
     }
 
     private void checkStopped() {
-        if (sessions.isEmpty() && door.inHand() == 0) {
-            finish();
+        if (sessions.isEmpty() && door.inFlight() == 0) {
+            terminate();
         }
     }
 
-    private void finish() {
+    private void terminate() {
         if (stopped.isDone()) {
             return;
         }
@@ -393,7 +393,7 @@
         if (listener != null) {
             listener.close();
         }
-        new ArrayList<>(sessions).forEach(ClientSession::end);
+        new ArrayList<>(sessions).forEach(ClientSession::closeAfterFlush);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         stopped.complete(null);
     }
@@ -402,9 +402,9 @@
     public CompletableFuture<Map<String, Long>> counters() {
         CompletableFuture<Map<String, Long>> all = new CompletableFuture<>();
         if (loop.isShuttingDown()) {
-            all.complete(door.counts());
+            all.complete(door.allCounters());
         } else {
-            loop.execute(() -> all.complete(door.counts()));
+            loop.execute(() -> all.complete(door.allCounters()));
         }
         return all;
     }
--- a/src/main/java/reedquay/net/Parts.java
+++ b/src/main/java/reedquay/net/GatewayComponents.java
@@ -6,4 +6,4 @@
 import reedquay.core.Settings;
 
 /** What a gateway is made of beside its configuration: the decisions with what stands before them, who is a client. */
-public record Parts(BiFunction<Settings, Effects, Decider> decider, Callers callers) { }
+public record GatewayComponents(BiFunction<Settings, Effects, Decider> deciderFactory, ClientIdentifier clientIdentifier) { }
--- a/src/main/java/reedquay/net/Limits.java
+++ b/src/main/java/reedquay/net/Limits.java
@@ -4,94 +4,94 @@
 
 /** How many of what may be open or held, derived from the limits told. */
 final class Limits {
-    static final int LONGEST_MESSAGE = 256 * 1024; // a value of 64 KiB in hex, and its statement
-    static final long UNUSED = 2_000_000_000; // after that a connection without an open RPC may be closed
-    private static final int FRAME = 128; // what a message costs beside its bytes
-    private static final int OWN = 64; // descriptors of the process itself: jars, selectors, logs, discovery
-
-    final int clients;
-    final int clientsWanted; // above this, sessions between RPCs are closed
-    final int spokenWanted; // the same for those that have spoken: clients use a third of the descriptors for RPCs
-    final int members;
-    final int waitingBytes; // what one client may send ahead
-    private int clientsOpen;
-    private int membersOpen;
-    private final long mayHold;
-    private long held;
+    static final int MAX_MESSAGE_BYTES = 256 * 1024; // a value of 64 KiB in hex, and its statement
+    static final long UNUSED_TIMEOUT_NANOS = 2_000_000_000; // after that a connection without an open RPC may be closed
+    private static final int MESSAGE_OVERHEAD_BYTES = 128; // what a message costs beside its bytes
+    private static final int RESERVED_DESCRIPTORS = 64; // descriptors of the process itself: jars, selectors, logs, discovery
+
+    final int maxClients;
+    final int clientsSoftLimit; // above this, sessions between RPCs are closed
+    final int startedSessionsSoftLimit; // the same for those that have spoken: clients use a third of the descriptors for RPCs
+    final int maxMemberConnections;
+    final int maxQueuedBytes; // what one client may send ahead
+    private int openClients;
+    private int openMemberConnections;
+    private final long maxHeldBytes;
+    private long heldBytes;
     private long partial;
 
     Limits(int sockets, int memoryMb) {
-        mayHold = memoryMb * 1024L * 1024 / 8;
-        int ours = Math.max(16, sockets - OWN);
-        clients = ours * 5 / 8;
-        clientsWanted = clients * 7 / 8;
-        spokenWanted = Math.min(clients, sockets / 3) * 7 / 8;
-        members = ours - clients;
-        waitingBytes = (int) Math.min(2 * LONGEST_MESSAGE, mayHold / clients);
+        maxHeldBytes = memoryMb * 1024L * 1024 / 8;
+        int ours = Math.max(16, sockets - RESERVED_DESCRIPTORS);
+        maxClients = ours * 5 / 8;
+        clientsSoftLimit = maxClients * 7 / 8;
+        startedSessionsSoftLimit = Math.min(maxClients, sockets / 3) * 7 / 8;
+        maxMemberConnections = ours - maxClients;
+        maxQueuedBytes = (int) Math.min(2 * MAX_MESSAGE_BYTES, maxHeldBytes / maxClients);
     }
 
     boolean clientOpened() {
-        return ++clientsOpen > clientsWanted;
+        return ++openClients > clientsSoftLimit;
     }
 
     void clientClosed() {
-        clientsOpen--;
+        openClients--;
     }
 
-    int clientsOpen() {
-        return clientsOpen;
+    int openClients() {
+        return openClients;
     }
 
     /** Counts the bytes of clients' messages that are held until they are answered. */
-    void hold(int bytes) {
-        held += bytes;
+    void addHeldBytes(int bytes) {
+        heldBytes += bytes;
     }
 
     /** Guards the memory told: above this nothing more is read from clients. */
-    boolean full() {
-        return held > mayHold;
+    boolean isMemoryFull() {
+        return heldBytes > maxHeldBytes;
     }
 
     /** Counts the bytes of clients' messages that are not whole yet. */
-    void partial(int bytes) {
+    void addPartialBytes(int bytes) {
         partial += bytes;
     }
 
     /** Guards the memory told against messages that are begun and never ended. */
-    boolean partialFull() {
-        return partial > mayHold;
+    boolean isPartialMemoryFull() {
+        return partial > maxHeldBytes;
     }
 
-    long partial() {
+    long partialBytes() {
         return partial;
     }
 
-    static int cost(Frame frame) {
-        return frame.content().readableBytes() + FRAME;
+    static int memoryCost(Frame frame) {
+        return frame.content().readableBytes() + MESSAGE_OVERHEAD_BYTES;
     }
 
     /** How many further messages there is room for, one at least. */
-    int messagesToCome() {
-        return (int) Math.max(1, (mayHold - held - partial) / LONGEST_MESSAGE);
+    int remainingMessages() {
+        return (int) Math.max(1, (maxHeldBytes - heldBytes - partial) / MAX_MESSAGE_BYTES);
     }
 
-    long held() {
-        return held;
+    long heldBytes() {
+        return heldBytes;
     }
 
-    boolean mayOpenMember() {
-        return membersOpen < members;
+    boolean canOpenMemberConnection() {
+        return openMemberConnections < maxMemberConnections;
     }
 
-    void memberOpened() {
-        membersOpen++;
+    void memberConnectionOpened() {
+        openMemberConnections++;
     }
 
-    void memberClosed() {
-        membersOpen--;
+    void memberConnectionClosed() {
+        openMemberConnections--;
     }
 
-    int membersOpen() {
-        return membersOpen;
+    int openMemberConnections() {
+        return openMemberConnections;
     }
 }
--- a/src/main/java/reedquay/net/MemberConnection.java
+++ b/src/main/java/reedquay/net/MemberConnection.java
@@ -21,15 +21,15 @@
     private static final String ANSWER = "TDC"; // row description, row, completion: an answer is these, once each
 
     /** What came back for a send, up to ReadyForQuery. */
-    static final class Answer {
+    static final class Response {
         final List<Frame> frames = new ArrayList<>(ANSWER.length());
-        String error; // its SQLSTATE
+        String sqlState; // its SQLSTATE
         Role role = Role.UNKNOWN;
-        long millis;
-        boolean positioned;
-        String load;
+        long positionMillis;
+        boolean hasPosition;
+        String loadReport;
 
-        boolean complete() {
+        boolean isComplete() {
             return frames.size() == ANSWER.length();
         }
 
@@ -39,21 +39,21 @@
         }
     }
 
-    private final Door door;
+    private final Dispatcher door;
     final Pool pool;
     final long openedAt;
-    final FrameDecoder decoder = FrameDecoder.ofServer(Limits.LONGEST_MESSAGE);
+    final FrameDecoder decoder = FrameDecoder.forServer(Limits.MAX_MESSAGE_BYTES);
     State state = State.OPENING;
     long idleSince;
-    Send send;
+    MemberRequest request;
     private Channel channel;
-    private Answer answer = new Answer();
+    private Response answer = new Response();
     private boolean written;
     private boolean spoilt;
     private boolean used, kept; // kept: it has carried a statement before this one
     private Outcome whyNot = Outcome.NO_CONNECTION; // what waits for this connection gets if it never comes up
 
-    MemberConnection(Door door, Pool pool, long openedAt) {
+    MemberConnection(Dispatcher door, Pool pool, long openedAt) {
         this.door = door;
         this.pool = pool;
         this.openedAt = openedAt;
@@ -64,27 +64,27 @@
     }
 
     @Override public void channelActive(ChannelHandlerContext ctx) {
-        ctx.writeAndFlush(Messages.startup(ctx.alloc().buffer(64), "reedquay", "reedquay"));
+        ctx.writeAndFlush(Messages.startupMessage(ctx.alloc().buffer(64), "reedquay", "reedquay"));
     }
 
     /** Sends the query of a send that has this connection to itself from here on. */
-    void write(Send next) {
-        door.counters.must(state == State.IDLE || state == State.RESERVED, "one send at a time on a connection");
+    void send(MemberRequest next) {
+        door.counters.check(state == State.IDLE || state == State.RESERVED, "one send at a time on a connection");
         kept = used;
         used = true;
         state = State.BUSY;
-        send = next;
+        request = next;
         next.connection = this;
         written = false;
-        answer = new Answer();
+        answer = new Response();
         if (next.callOut != null) {
             next.callOut.waiting = false;
         }
-        ByteBuf query = next.callOut == null ? door.probeQuery(channel.alloc())
-                : door.query(next, channel.alloc());
-        channel.writeAndFlush(query).addListener(f -> written |= send == next && f.isSuccess());
+        ByteBuf query = next.callOut == null ? door.buildProbeQuery(channel.alloc())
+                : door.buildQuery(next, channel.alloc());
+        channel.writeAndFlush(query).addListener(f -> written |= request == next && f.isSuccess());
         if (!channel.isActive()) {
-            closed();
+            handleClosed();
         }
     }
 
@@ -98,30 +98,30 @@
             switch (frame.type) {
                 case 'T', 'D', 'C' -> {
                     // guards against passing on what no member made: nothing is left out, twice, or out of its order
-                    if (state != State.BUSY || answer.error != null || answer.complete()
-                            || ANSWER.charAt(answer.frames.size()) != frame.type || !frame.wellFormed()) {
-                        breach("an answer that is spoilt, or that nothing asked for");
+                    if (state != State.BUSY || answer.sqlState != null || answer.isComplete()
+                            || ANSWER.charAt(answer.frames.size()) != frame.type || !frame.isWellFormed()) {
+                        protocolViolation("an answer that is spoilt, or that nothing asked for");
                         return;
                     }
                     answer.frames.add(frame);
                     kept = true;
                 }
-                case 'E' -> error(frame);
+                case 'E' -> handleError(frame);
                 case 'S', 'N' -> {
                     if (state == State.BUSY && frame.type == 'S') {
-                        parameter(frame);
+                        handleParameterStatus(frame);
                     } else if (state != State.BUSY && state != State.OPENING) {
-                        breach("more than the answer");
+                        protocolViolation("more than the answer");
                     }
                 }
-                case 'Z' -> readyForQuery();
+                case 'Z' -> handleReadyForQuery();
                 case 'R' -> {
-                    if (state != State.OPENING || frame.bodyLength() < 4 || frame.content().getInt(frame.body()) != 0) {
-                        breach("a request for authentication that is not known here");
+                    if (state != State.OPENING || frame.bodyLength() < 4 || frame.content().getInt(frame.bodyStart()) != 0) {
+                        protocolViolation("a request for authentication that is not known here");
                     }
                 }
                 case 'K' -> { }
-                default -> breach("a message that answers no simple query");
+                default -> protocolViolation("a message that answers no simple query");
             }
         } finally {
             if (!kept) {
@@ -130,56 +130,56 @@
         }
     }
 
-    private void error(Frame frame) {
-        String code = frame.wellFormed() ? frame.fields().getOrDefault('C', "") : "";
+    private void handleError(Frame frame) {
+        String code = frame.isWellFormed() ? frame.errorFields().getOrDefault('C', "") : "";
         if (state == State.OPENING) {
             whyNot = code.equals("53300") ? Outcome.FULL : Outcome.NO_CONNECTION;
             channel.close();
         } else if (state != State.BUSY) {
             close(); // it says why it is about to close
-        } else if (code.isEmpty() || answer.error != null || answer.complete()) {
-            breach("an error that is spoilt");
+        } else if (code.isEmpty() || answer.sqlState != null || answer.isComplete()) {
+            protocolViolation("an error that is spoilt");
         } else {
-            answer.error = code;
+            answer.sqlState = code;
         }
     }
 
-    private void parameter(Frame frame) {
-        String name = frame.text(0);
-        String value = frame.text(name.length() + 1);
+    private void handleParameterStatus(Frame frame) {
+        String name = frame.stringAt(0);
+        String value = frame.stringAt(name.length() + 1);
         if (name.equals("node_role")) {
             answer.role = value.equals("leader") ? Role.PRIMARY : value.equals("follower") ? Role.REPLICA
                     : Role.UNKNOWN;
         } else if (name.equals("replay_position")) {
             try {
-                answer.millis = Long.parseLong(value.strip());
-                answer.positioned = door.credible(answer.millis);
+                answer.positionMillis = Long.parseLong(value.strip());
+                answer.hasPosition = door.isPlausiblePosition(answer.positionMillis);
             } catch (NumberFormatException e) {
                 door.counters.add("member.position.unreadable");
             }
         } else if (name.equals("server_load")) {
-            answer.load = value;
+            answer.loadReport = value;
         }
     }
 
-    private void readyForQuery() {
+    private void handleReadyForQuery() {
         if (state == State.OPENING) {
-            pool.cameUp();
-            settled();
+            pool.connectionOpened();
+            settlingEnded();
         } else if (state == State.BUSY) {
-            if (!answer.complete() && answer.error == null) {
-                breach("ready for a query without an answer to the last one");
+            if (!answer.isComplete() && answer.sqlState == null) {
+                protocolViolation("ready for a query without an answer to the last one");
                 return;
             }
-            Send finished = send;
-            Answer whole = answer;
-            answer = new Answer();
-            send = null;
+            MemberRequest finished = request;
+            Response whole = answer;
+            answer = new Response();
+            request = null;
             state = State.SETTLING;
-            door.answered(finished, whole);
-            door.settle(this);
+            door.responseReceived(finished, whole);
+            door.startSettling(this);
         } else {
-            breach("ready for a query twice");
+            protocolViolation("ready for a query twice");
         }
     }
 
@@ -187,65 +187,65 @@
      * Free again, if nothing came behind the last answer. Guards against the gravest mistake, a second copy of one
      * answer that passes for the answer to the next statement: it is waited for, what comes ends the connection
      */
-    void settled() {
+    void settlingEnded() {
         if (state == State.CLOSED || !channel.isActive()) {
             return;
         }
-        if (!clean()) {
-            breach("more than the answer");
+        if (!isClean()) {
+            protocolViolation("more than the answer");
             return;
         }
         state = State.IDLE;
         idleSince = door.clock.now();
-        pool.ready(this);
+        pool.connectionReady(this);
     }
 
     /** Whether nothing of a further message has come. */
-    boolean clean() {
-        return !decoder.begun();
+    boolean isClean() {
+        return !decoder.hasPartialMessage();
     }
 
-    private void breach(String what) {
+    private void protocolViolation(String what) {
         door.counters.add("member.breach");
         door.logOnce("a member sent what the protocol does not allow: " + what);
         spoilt = state == State.BUSY; // it has run: nothing of it is passed on or believed
         channel.close();
-        closed();
+        handleClosed();
     }
 
     @Override public void channelInactive(ChannelHandlerContext ctx) {
-        closed();
+        handleClosed();
     }
 
     /** The connection is gone, whoever ended it. */
-    private void closed() {
+    private void handleClosed() {
         State before = state;
         if (before == State.CLOSED) {
             return;
         }
         state = State.CLOSED;
-        Send broken = send;
-        Answer last = answer;
-        send = null;
+        MemberRequest broken = request;
+        Response last = answer;
+        request = null;
         answer = null;
-        door.limits.memberClosed();
-        pool.closed(this, before, whyNot);
-        if (broken != null && !spoilt && (last.complete() || last.error != null)) {
-            door.answered(broken, last); // whole, though no ReadyForQuery came
+        door.limits.memberConnectionClosed();
+        pool.connectionClosed(this, before, whyNot);
+        if (broken != null && !spoilt && (last.isComplete() || last.sqlState != null)) {
+            door.responseReceived(broken, last); // whole, though no ReadyForQuery came
             return;
         }
         last.release();
         if (broken != null) {
             // guards against calling unsent what was written: unsure counts as may have run; and against holding it
             // against a member that a connection kept to it was of no more use: a dead process refuses the next one
-            door.ended(broken, spoilt ? Outcome.SPOILT : !written ? Outcome.NO_CONNECTION
+            door.requestFailed(broken, spoilt ? Outcome.SPOILT : !written ? Outcome.NO_CONNECTION
                     : kept ? Outcome.STALE : Outcome.RESET);
         }
     }
 
     /** Closes without a word to whoever waits: the send was given up. */
-    void giveUp() {
-        send = null;
+    void abandon() {
+        request = null;
         close();
     }
 
@@ -254,22 +254,22 @@
             channel.writeAndFlush(Messages.terminate(channel.alloc().buffer(8)));
         }
         channel.close();
-        closed();
+        handleClosed();
     }
 
     @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof java.io.IOException) && state != State.CLOSED) {
-            breach("what is no message, or one of an impossible length");
+            protocolViolation("what is no message, or one of an impossible length");
         }
         ctx.close();
     }
 
     /** The load report that a probe or an answer brought. */
-    static Report report(Door door, Answer answer, boolean fromRow) {
-        String text = answer.load;
+    static Report parseLoadReport(Dispatcher door, Response answer, boolean fromRow) {
+        String text = answer.loadReport;
         if (fromRow && answer.frames.size() == 3) {
             Frame row = answer.frames.get(1);
-            text = row.type == 'D' && row.bodyLength() > 6 ? row.text(6) : text;
+            text = row.type == 'D' && row.bodyLength() > 6 ? row.stringAt(6) : text;
         }
         try {
             return text == null ? Report.NONE : door.reports.named(text);
--- a/src/main/java/reedquay/net/Pool.java
+++ b/src/main/java/reedquay/net/Pool.java
@@ -15,55 +15,55 @@
 /** The connections to one member. The one used last goes out first, so that the others fall idle. */
 final class Pool {
     final Member member;
-    private final Door door;
+    private final Dispatcher door;
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
     private long startedAt;
     private final Set<MemberConnection> all = new LinkedHashSet<>();
     private final ArrayDeque<MemberConnection> idle = new ArrayDeque<>();
-    private final ArrayDeque<Send> waiting = new ArrayDeque<>();
+    private final ArrayDeque<MemberRequest> waiting = new ArrayDeque<>();
     private int opening;
 
-    Pool(Door door, Member member, Bootstrap bootstrap) {
+    Pool(Dispatcher door, Member member, Bootstrap bootstrap) {
         this.door = door;
         this.member = member;
         this.bootstrap = bootstrap;
     }
 
     /** What the list says of the member's process; connections to an earlier one are of no use. */
-    void located(InetSocketAddress where, long started) {
+    void updateLocation(InetSocketAddress where, long started) {
         if (!where.equals(address) || started > startedAt) {
-            dropIdle("moved");
+            closeAllIdle("moved");
         }
         address = where;
         startedAt = Math.max(startedAt, started);
     }
 
     /** Sends at once on an idle connection, else when the next one is ready. */
-    void submit(Send send) {
+    void submit(MemberRequest send) {
         MemberConnection connection = idle.pollFirst();
-        while (connection != null && !connection.clean()) { // guards against a surplus that came while it was idle
+        while (connection != null && !connection.isClean()) { // guards against a surplus that came while it was idle
             connection.close();
             connection = idle.pollFirst();
         }
         if (connection != null) {
             door.counters.add("member.reused");
-            connection.write(send);
+            connection.send(send);
             return;
         }
         waiting.addLast(send);
-        if (opening < waiting.size() && !open()) {
+        if (opening < waiting.size() && !openConnection()) {
             waiting.remove(send);
             door.counters.add("member.nodescriptor");
-            door.ended(send, Outcome.NEVER_SENT);
+            door.requestFailed(send, Outcome.NEVER_SENT);
         }
     }
 
-    private boolean open() {
-        if (address == null || !door.limits.mayOpenMember() && !door.closeIdle()) {
+    private boolean openConnection() {
+        if (address == null || !door.limits.canOpenMemberConnection() && !door.closeAnyIdleConnection()) {
             return false; // no list has said where, or no descriptor is left
         }
-        door.limits.memberOpened();
+        door.limits.memberConnectionOpened();
         door.counters.add("member.opened");
         opening++;
         MemberConnection connection = new MemberConnection(door, this, door.clock.now());
@@ -81,52 +81,52 @@
         return true;
     }
 
-    void cameUp() {
+    void connectionOpened() {
         opening--;
     }
 
     /** A connection has come up or has become free. */
-    void ready(MemberConnection connection) {
-        Send next = waiting.pollFirst();
+    void connectionReady(MemberConnection connection) {
+        MemberRequest next = waiting.pollFirst();
         if (next == null) {
             idle.addFirst(connection);
         } else if (next.callOut == null) {
-            connection.write(next);
+            connection.send(next);
         } else {
             connection.state = MemberConnection.State.RESERVED;
-            connection.send = next;
+            connection.request = next;
             next.connection = connection;
-            door.input(d -> d.ready(next.callOut));
+            door.submitInput(d -> d.ready(next.callOut));
         }
     }
 
-    void closed(MemberConnection connection, MemberConnection.State before, Outcome whyNot) {
+    void connectionClosed(MemberConnection connection, MemberConnection.State before, Outcome whyNot) {
         all.remove(connection);
         idle.remove(connection);
         if (before == MemberConnection.State.OPENING) {
             opening--;
             door.counters.add("member.unopened");
             if (waiting.size() > opening) {
-                door.ended(waiting.pollFirst(), whyNot);
+                door.requestFailed(waiting.pollFirst(), whyNot);
             }
         }
     }
 
     /** Takes back what has not been written; its connection serves another. */
-    void withdraw(Send send) {
+    void withdraw(MemberRequest send) {
         MemberConnection reserved = send.connection;
         if (reserved == null) {
             waiting.remove(send);
             return;
         }
         send.connection = null;
-        reserved.send = null;
+        reserved.request = null;
         reserved.state = MemberConnection.State.IDLE;
-        ready(reserved);
+        connectionReady(reserved);
     }
 
     /** Closes the connection that has been idle longest, as long as it is one since before the given time. */
-    boolean closeOldest(long before, String why) {
+    boolean closeOldestIdle(long before, String why) {
         MemberConnection oldest = idle.peekLast();
         if (oldest == null || oldest.idleSince >= before) {
             return false;
@@ -136,21 +136,21 @@
         return true;
     }
 
-    void dropIdle(String why) {
-        while (closeOldest(Long.MAX_VALUE, why)) { }
+    void closeAllIdle(String why) {
+        while (closeOldestIdle(Long.MAX_VALUE, why)) { }
     }
 
     /** Ends what has taken too long: to come up, to answer, or without work. */
     void sweep(long now, long connectTimeout, long idleFor) {
-        while (closeOldest(now - idleFor, "idle")) { }
+        while (closeOldestIdle(now - idleFor, "idle")) { }
         for (MemberConnection c : new ArrayList<>(all)) {
             if (c.state == MemberConnection.State.OPENING && now - c.openedAt >= connectTimeout) {
                 c.close();
-            } else if (c.state == MemberConnection.State.BUSY && now >= c.send.until) {
-                Send late = c.send;
+            } else if (c.state == MemberConnection.State.BUSY && now >= c.request.deadline) {
+                MemberRequest late = c.request;
                 door.counters.add("member.closed.timeout");
-                c.giveUp();
-                door.ended(late, Outcome.TIMED_OUT);
+                c.abandon();
+                door.requestFailed(late, Outcome.TIMED_OUT);
             }
         }
     }
--- a/src/main/java/reedquay/net/Shutdown.java
+++ b/src/main/java/reedquay/net/Shutdown.java
@@ -3,7 +3,7 @@
 /** The times of an orderly stop, from the platform's page. */
 final class Shutdown {
     /** After a stop is asked for, clients go on coming for up to 0.4 s; a little more is waited. */
-    static final long STILL_COMING = 450_000_000;
+    static final long ACCEPT_NANOS = 450_000_000;
     /** The kill comes so long after the longest deadline, which counts as 3 s where it is longer. */
     private static final long COUNTED = 700_000_000;
     private static final long LONGEST_AT_MOST = 3_000_000_000L;
@@ -11,7 +11,7 @@
 
     private Shutdown() { }
 
-    static long longest(long longestDeadline) {
+    static long maxDurationNanos(long longestDeadline) {
         return Math.min(longestDeadline, LONGEST_AT_MOST) + COUNTED - MARGIN;
     }
 }
--- a/src/main/java/reedquay/net/Statement.java
+++ b/src/main/java/reedquay/net/Statement.java
@@ -18,10 +18,10 @@
 /** The bytes of a client's statement and the fields that its leading comment holds. */
 final class Statement {
     /** A statement that cannot be routed; the message is for the client. */
-    static final class Unfit extends Exception {
+    static final class InvalidStatementException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unfit(String message) {
+        InvalidStatementException(String message) {
             super(message, null, false, false);
         }
     }
@@ -40,21 +40,21 @@
     final long waitMillis;
     final boolean retry;
     /** The position that a read must see, in Unix milliseconds; 0 where there is none. */
-    final long after;
+    final long minPositionMillis;
     private final String token;
     private final int sql; // where the comment has ended
     private final int digitsFrom;
     private final int digitsTo;
 
     /** Borrows the frame: whoever made the statement releases it. */
-    Statement(Frame frame) throws Unfit {
+    Statement(Frame frame) throws InvalidStatementException {
         this.frame = frame;
         ByteBuf all = frame.content();
         int head = Math.min(frame.bodyLength(), MOST_HEAD);
-        String text = all.toString(frame.body(), head, StandardCharsets.ISO_8859_1);
+        String text = all.toString(frame.bodyStart(), head, StandardCharsets.ISO_8859_1);
         int end = text.startsWith("/*") ? text.indexOf("*/") : -1;
         if (end < 0) {
-            throw new Unfit("expected a leading comment with id, c, d and cluster");
+            throw new InvalidStatementException("expected a leading comment with id, c, d and cluster");
         }
         Map<String, String> fields = new HashMap<>();
         int from = 0;
@@ -65,15 +65,15 @@
             int stop = comma < 0 || comma > end ? end : comma;
             int eq = text.indexOf('=', at);
             if (eq <= at || eq >= stop) {
-                throw new Unfit("expected names and values in the comment");
+                throw new InvalidStatementException("expected names and values in the comment");
             }
             String name = text.substring(at, eq).strip();
             String value = text.substring(eq + 1, stop).strip();
             if (!value.chars().allMatch(c -> c > ' ' && c <= '~')) {
-                throw new Unfit("expected plain values in the comment");
+                throw new InvalidStatementException("expected plain values in the comment");
             }
             if (fields.put(name, value) != null) {
-                throw new Unfit("the comment names a field twice");
+                throw new InvalidStatementException("the comment names a field twice");
             }
             if (name.equals("d")) {
                 from = text.indexOf(value, eq + 1);
@@ -88,18 +88,18 @@
         tenant = fields.get("t");
         waitMillis = number(needed(fields, "d"), "d");
         if (waitMillis == 0) {
-            throw new Unfit("expected a time to wait above 0 in d");
+            throw new InvalidStatementException("expected a time to wait above 0 in d");
         }
         group = (int) number(needed(fields, "cluster"), "cluster");
         retry = "1".equals(fields.getOrDefault("r", "0"));
         if (!retry && !fields.getOrDefault("r", "0").equals("0")) {
-            throw new Unfit("expected 0 or 1 in r");
+            throw new InvalidStatementException("expected 0 or 1 in r");
         }
         String sees = fields.get("after");
-        after = sees == null ? 0 : position(sees);
+        minPositionMillis = sees == null ? 0 : position(sees);
         token = fields.get("k");
         if (token != null && !TOKEN.matcher(token).matches()) {
-            throw new Unfit("expected a short plain token in k");
+            throw new InvalidStatementException("expected a short plain token in k");
         }
         sql = end + 2;
         session = single();
@@ -109,22 +109,22 @@
      * What a member would close its connection on, whatever waits there, is found here: bytes that are no text, more
      * or less than one statement, a quote that does not end, no key. Returns the key, the first text in quotes.
      */
-    private String single() throws Unfit {
+    private String single() throws InvalidStatementException {
         ByteBuf all = frame.content();
-        int from = frame.body() + sql;
+        int from = frame.bodyStart() + sql;
         int end = all.writerIndex() - 1;
         if (end < from || all.getByte(end) != 0) {
-            throw new Unfit("expected a statement that ends with a zero byte");
+            throw new InvalidStatementException("expected a statement that ends with a zero byte");
         }
         Scan scan = new Scan();
         boolean fit = all.forEachByte(from, end - from, scan) < 0;
         boolean is = fit ? scan.ascii || ByteBufUtil.isText(all, from, end - from, StandardCharsets.UTF_8) : scan.ended;
         if (!is) {
-            throw new Unfit("expected text");
+            throw new InvalidStatementException("expected text");
         } else if (!fit) {
-            throw new Unfit("expected a single statement");
+            throw new InvalidStatementException("expected a single statement");
         } else if (scan.quoted || scan.close < 0) {
-            throw new Unfit("expected a key in quotes");
+            throw new InvalidStatementException("expected a key in quotes");
         }
         return all.toString(from + scan.open, scan.close - scan.open, StandardCharsets.UTF_8);
     }
@@ -157,54 +157,54 @@
     }
 
     /** Whether it is what calls of this method are. */
-    void check(Method called) throws Unfit {
+    void validateFor(Method called) throws InvalidStatementException {
         ByteBuf all = frame.content();
-        int from = frame.body() + sql;
+        int from = frame.bodyStart() + sql;
         while (all.getByte(from) <= ' ' && all.getByte(from) > 0) {
             from++;
         }
         int length = Math.min(6, all.writerIndex() - from);
         String verb = all.toString(from, length, StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
         if (called.need() == Method.Need.WRITE ? !WRITES.contains(verb) : !verb.equals("SELECT")) {
-            throw new Unfit("the statement is not of its class");
+            throw new InvalidStatementException("the statement is not of its class");
         }
         if (called.effect() == Method.Effect.TOKENED && token == null) {
-            throw new Unfit("expected k in the leading comment");
+            throw new InvalidStatementException("expected k in the leading comment");
         }
     }
 
-    private static String needed(Map<String, String> fields, String name) throws Unfit {
+    private static String needed(Map<String, String> fields, String name) throws InvalidStatementException {
         String value = fields.get(name);
         if (value == null || value.isEmpty()) {
-            throw new Unfit("expected " + name + " in the leading comment");
+            throw new InvalidStatementException("expected " + name + " in the leading comment");
         }
         return value;
     }
 
-    private static long hex(String text) throws Unfit {
+    private static long hex(String text) throws InvalidStatementException {
         if (text == null || text.isEmpty() || text.length() > 16
                 || !text.chars().allMatch(HexFormat::isHexDigit)) {
-            throw new Unfit("expected up to 16 hex digits in id");
+            throw new InvalidStatementException("expected up to 16 hex digits in id");
         }
         return Long.parseUnsignedLong(text, 16);
     }
 
-    private static long number(String text, String name) throws Unfit {
+    private static long number(String text, String name) throws InvalidStatementException {
         if (text.isEmpty() || text.length() > MOST_DIGITS || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new Unfit("expected a number of at most " + MOST_DIGITS + " digits in " + name);
+            throw new InvalidStatementException("expected a number of at most " + MOST_DIGITS + " digits in " + name);
         }
         return Long.parseLong(text);
     }
 
-    private static long position(String text) throws Unfit {
+    private static long position(String text) throws InvalidStatementException {
         if (text.isEmpty() || text.length() > 15 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new Unfit("expected a position in Unix milliseconds in after");
+            throw new InvalidStatementException("expected a position in Unix milliseconds in after");
         }
         return Long.parseLong(text);
     }
 
     /** The statement as it goes to a member: the bytes that came, but for how long this side will wait. */
-    ByteBuf toMember(ByteBufAllocator allocator, long millis) {
+    ByteBuf queryForMember(ByteBufAllocator allocator, long millis) {
         return Messages.query(allocator, frame, digitsFrom, digitsTo, millis);
     }
 }
--- a/src/main/java/reedquay/net/Trace.java
+++ b/src/main/java/reedquay/net/Trace.java
@@ -13,7 +13,7 @@
  */
 final class Trace {
     private static final System.Logger LOG = System.getLogger("reedquay.trace");
-    final boolean on = LOG.isLoggable(System.Logger.Level.DEBUG);
+    final boolean enabled = LOG.isLoggable(System.Logger.Level.DEBUG);
 
     private static void line(String text) {
         LOG.log(System.Logger.Level.DEBUG, text);
@@ -23,35 +23,35 @@
         return "rpc " + Long.toHexString(rpc.id);
     }
 
-    void taken(Rpc rpc, long now) {
-        if (on) {
+    void rpcAccepted(Rpc rpc, long now) {
+        if (enabled) {
             line(id(rpc) + " taken: " + rpc.method.name() + ", group " + rpc.group + (rpc.retry ? ", a retry" : "")
                     + ", due in " + (rpc.due - now) / 1_000_000 + " ms");
         }
     }
 
-    void sent(CallOut call) {
-        if (on) {
+    void callOutSent(CallOut call) {
+        if (enabled) {
             line(id(call.rpc) + " sent to " + call.member.id);
         }
     }
 
-    void ended(CallOut call, Outcome outcome, long took) {
-        if (on) {
+    void callOutEnded(CallOut call, Outcome outcome, long took) {
+        if (enabled) {
             line(id(call.rpc) + " " + outcome + " of " + call.member.id + " after " + took / 1_000_000 + " ms");
         }
     }
 
     /** why: what the decisions went by, asked only where it is wanted. */
-    void answered(Rpc rpc, String how, String why) {
-        if (on) {
+    void rpcEnded(Rpc rpc, String how, String why) {
+        if (enabled) {
             line(id(rpc) + " " + how + (why.isEmpty() ? "" : ": " + why));
         }
     }
 
     /** Guards the reader of a log against guessing when this gateway was told: only what is not up is of interest. */
-    void listed(List<Listed> entries) {
-        if (on) {
+    void membersListed(List<Listed> entries) {
+        if (enabled) {
             entries.stream().filter(e -> e.phase() != Listed.Phase.UP)
                     .forEach(e -> line("listed " + e.member().id + " " + e.phase()));
         }
--- a/src/main/java/reedquay/net/Rehearsal.java
+++ b/src/main/java/reedquay/net/WarmUp.java
@@ -32,11 +32,11 @@
  * this process and on its own address. Guards the first seconds in service: on part of a core the JVM takes seconds to
  * compile what serving needs. A class archive made meanwhile makes the next start quick.
  */
-public final class Rehearsal {
+public final class WarmUp {
     private static final int CLIENTS = 8;
     private static final int ROUNDS = 64; // each client sends one RPC of each method a round
 
-    private Rehearsal() { }
+    private WarmUp() { }
 
     /**
      * config: the JSON text of a fit configuration. Ends early where it takes as long as a start may wait. Returns the
@@ -65,7 +65,7 @@
             Configuration configuration = Configuration.parse(all.toString());
             Gateway gateway = new Gateway(configuration);
             try {
-                play(gateway.start().join(), configuration.settings().settings(0));
+                sendRpcs(gateway.start().join(), configuration.settings().settings(0));
                 return gateway.counters().join();
             } finally {
                 gateway.halt();
@@ -75,16 +75,16 @@
         }
     }
 
-    private static void play(InetSocketAddress at, Settings settings) throws IOException {
-        long end = System.nanoTime() + Gateway.patience(settings);
+    private static void sendRpcs(InetSocketAddress at, Settings settings) throws IOException {
+        long end = System.nanoTime() + Gateway.startupTimeout(settings);
         List<Socket> clients = new ArrayList<>();
         try {
             for (int i = 0; i < CLIENTS; i++) {
                 Socket client = new Socket(at.getAddress(), at.getPort());
-                client.setSoTimeout((int) (Gateway.patience(settings) / 1_000_000));
+                client.setSoTimeout((int) (Gateway.startupTimeout(settings) / 1_000_000));
                 clients.add(client);
-                client.getOutputStream().write(bytes(Messages.startup(Unpooled.buffer(), "rehearsal", "rehearsal")));
-                await(client, 1);
+                client.getOutputStream().write(bytes(Messages.startupMessage(Unpooled.buffer(), "rehearsal", "rehearsal")));
+                awaitReadyForQuery(client, 1);
             }
             int id = 0;
             for (int round = 0; round < ROUNDS && System.nanoTime() < end; round++) {
@@ -98,7 +98,7 @@
                     client.getOutputStream().write(bytes(out));
                 }
                 for (Socket client : clients) {
-                    await(client, settings.methods().size());
+                    awaitReadyForQuery(client, settings.methods().size());
                 }
             }
         } finally {
@@ -115,7 +115,7 @@
     }
 
     /** Reads up to that many ReadyForQuery. */
-    private static void await(Socket client, int answers) throws IOException {
+    private static void awaitReadyForQuery(Socket client, int answers) throws IOException {
         DataInputStream in = new DataInputStream(client.getInputStream());
         for (int left = answers; left > 0; ) {
             left -= in.readByte() == 'Z' ? 1 : 0;
@@ -127,32 +127,32 @@
         Channel listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(FrameDecoder.ofClient(Limits.LONGEST_MESSAGE), new Player(primary));
+                        channel.pipeline().addLast(FrameDecoder.forClient(Limits.MAX_MESSAGE_BYTES), new ImmediateMember(primary));
                     }
                 }).bind(host, 0).syncUninterruptibly().channel();
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     /** A member that answers each statement at once. */
-    private static final class Player extends ChannelInboundHandlerAdapter {
+    private static final class ImmediateMember extends ChannelInboundHandlerAdapter {
         private final boolean primary;
 
-        Player(boolean primary) {
+        ImmediateMember(boolean primary) {
             this.primary = primary;
         }
 
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
             Frame frame = (Frame) message;
             ByteBuf out = ctx.alloc().buffer();
-            if (frame.type == Frame.FIRST) {
-                Messages.welcome(out, 1, 1);
+            if (frame.type == Frame.UNTYPED) {
+                Messages.startupResponse(out, 1, 1);
             } else {
-                Messages.complete(Messages.row(Messages.columns(out, "data"), "value"), "SELECT 1");
-                Messages.parameter(out, "node_role", primary ? "leader" : "follower");
-                Messages.parameter(out, "replay_position", Long.toString(System.currentTimeMillis()));
+                Messages.commandComplete(Messages.dataRow(Messages.rowDescription(out, "data"), "value"), "SELECT 1");
+                Messages.parameterStatus(out, "node_role", primary ? "leader" : "follower");
+                Messages.parameterStatus(out, "replay_position", Long.toString(System.currentTimeMillis()));
             }
             frame.release();
-            ctx.writeAndFlush(Messages.ready(out));
+            ctx.writeAndFlush(Messages.readyForQuery(out));
         }
 
         @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/src/main/java/reedquay/ops/Operated.java
+++ b/src/main/java/reedquay/ops/Operated.java
@@ -8,10 +8,10 @@
 import reedquay.core.Effects;
 import reedquay.core.Settings;
 import reedquay.fair.Turns;
-import reedquay.net.Callers;
+import reedquay.net.ClientIdentifier;
 import reedquay.net.Configuration;
 import reedquay.net.Gateway;
-import reedquay.net.Parts;
+import reedquay.net.GatewayComponents;
 import reedquay.route.Router;
 
 /** A gateway with the parts that the operators' file turns on. Loaded only where there is such a file. */
@@ -25,8 +25,8 @@
     public Operated(Configuration configuration, Path file) throws IOException {
         this.file = file;
         operators = Operators.read(file);
-        Callers callers = operators.fair().enabled() ? operators.fair().client() : null;
-        gateway = new Gateway(configuration, new Parts(this::decider, callers));
+        ClientIdentifier callers = operators.fair().enabled() ? operators.fair().client() : null;
+        gateway = new Gateway(configuration, new GatewayComponents(this::decider, callers));
     }
 
     /** The Router, behind the stages that are on. */
@@ -58,7 +58,7 @@
                 LOG.log(System.Logger.Level.WARNING, file + " has another " + unlike
                         + ": that needs a restart and is passed over");
             }
-            return gateway.change(() -> {
+            return gateway.runOnEventLoop(() -> {
                 if (turns.get() != null) {
                     turns.get().reweigh(next.fair().weights());
                 }
--- a/src/main/java/reedquay/ops/Operators.java
+++ b/src/main/java/reedquay/ops/Operators.java
@@ -15,7 +15,7 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 import reedquay.fair.Terms;
-import reedquay.net.Callers;
+import reedquay.net.ClientIdentifier;
 
 /**
  * The operators' own file, TOML, a section a subsystem. Every key is checked; what is wrong is told with file, line,
@@ -23,7 +23,7 @@
  */
 public record Operators(Fair fair) {
     /** Fair queues at the door; memoryKb: what those that wait may take, messages left out. */
-    public record Fair(boolean enabled, Callers client, int memoryKb, Map<String, Double> weights) {
+    public record Fair(boolean enabled, ClientIdentifier client, int memoryKb, Map<String, Double> weights) {
         public Terms terms() {
             return new Terms(Terms.within(memoryKb * 1024L), weights);
         }
@@ -41,7 +41,7 @@
     /** Keys whose change a running gateway takes on; all others need a restart. */
     public static final Set<String> LIVE = Set.of("fair.weights");
 
-    private static final Fair NO_FAIR = new Fair(false, new Callers(Callers.Kind.KEY, ""), 512, Map.of());
+    private static final Fair NO_FAIR = new Fair(false, new ClientIdentifier(ClientIdentifier.Kind.KEY, ""), 512, Map.of());
 
     /** Reads the file. Throws IOException where it can't be read, Unfit where something in it is not allowed. */
     public static Operators read(Path file) throws IOException {
@@ -80,9 +80,9 @@
         return String.join(", ", unlike);
     }
 
-    private static String name(Callers callers) {
+    private static String name(ClientIdentifier callers) {
         String kind = callers.kind().name().toLowerCase(java.util.Locale.ROOT);
-        return callers.kind() == Callers.Kind.PARAMETER ? kind + ":" + callers.parameter() : kind;
+        return callers.kind() == ClientIdentifier.Kind.PARAMETER ? kind + ":" + callers.parameter() : kind;
     }
 
     private static final class Reader {
@@ -126,8 +126,8 @@
                 weights.put(tenant, weight);
             }
             boolean enabled = flag(t, "fair.", "enabled", false);
-            Callers client = client(t);
-            if (client.kind() == Callers.Kind.TENANT && weights.isEmpty() && given != null) {
+            ClientIdentifier client = client(t);
+            if (client.kind() == ClientIdentifier.Kind.TENANT && weights.isEmpty() && given != null) {
                 complain(t, "client", "fair.client", "another kind, or weights: tenants alone without weights"
                         + " go by the settings' shares");
             }
@@ -135,7 +135,7 @@
                     weights);
         }
 
-        private Callers client(TomlTable t) {
+        private ClientIdentifier client(TomlTable t) {
             String allowed = "\"key\", \"connection\", \"address\", \"tenant\" or \"parameter:NAME\"";
             String text = typed(t, "fair.", "client", String.class, allowed);
             if (text == null) {
@@ -143,13 +143,13 @@
             }
             switch (text) {
                 case "key", "connection", "address", "tenant" -> {
-                    return new Callers(Callers.Kind.valueOf(text.toUpperCase(java.util.Locale.ROOT)), "");
+                    return new ClientIdentifier(ClientIdentifier.Kind.valueOf(text.toUpperCase(java.util.Locale.ROOT)), "");
                 }
                 default -> {
                     if (!text.matches("parameter:[A-Za-z_][A-Za-z0-9_.]{0,62}")) {
                         complain(t, "client", "fair.client", allowed + ", not \"" + text + "\"");
                     }
-                    return new Callers(Callers.Kind.PARAMETER, text.substring(text.indexOf(':') + 1));
+                    return new ClientIdentifier(ClientIdentifier.Kind.PARAMETER, text.substring(text.indexOf(':') + 1));
                 }
             }
         }
--- a/src/test/java/reedquay/net/GatewayTest.java
+++ b/src/test/java/reedquay/net/GatewayTest.java
@@ -102,7 +102,7 @@
         }
 
         Client startup() throws IOException {
-            send(Messages.startup(Unpooled.buffer(), "portal", "crm"));
+            send(Messages.startupMessage(Unpooled.buffer(), "portal", "crm"));
             assertTrue(answer().endsWith("Z"));
             return this;
         }
@@ -126,10 +126,10 @@
                 Frame frame = new Frame((byte) type, Unpooled.buffer().writeByte(type).writeInt(body.length + 4)
                         .writeBytes(body));
                 if (type == 'D') {
-                    parts.add("D:" + frame.text(6));
+                    parts.add("D:" + frame.stringAt(6));
                 } else if (type == 'E') {
-                    parts.add("E:" + frame.fields().get('C')
-                            + (frame.fields().containsKey('D') ? ":" + frame.fields().get('D') : ""));
+                    parts.add("E:" + frame.errorFields().get('C')
+                            + (frame.errorFields().containsKey('D') ? ":" + frame.errorFields().get('D') : ""));
                 } else if (type != 'R' && type != 'S' && type != 'K') {
                     parts.add("" + (char) type);
                 }
@@ -298,7 +298,7 @@
     @Test void queriesSentAheadAreAnsweredInOrder() throws IOException {
         ready().close();
         try (Client client = new Client()) {
-            ByteBuf all = Messages.startup(Unpooled.buffer(), "portal", "crm");
+            ByteBuf all = Messages.startupMessage(Unpooled.buffer(), "portal", "crm");
             for (String data : List.of("1", "2", "3")) {
                 Messages.query(all, write(3000, data));
             }
@@ -316,18 +316,18 @@
     /** Sessions that go on after a batch take RPCs whose batches let others go on: one by one, not nested. */
     @Test void whatFollowsABatchIsNotNested() {
         Configuration told = Configuration.parse(configuration().toString());
-        Door door = new Door(null, null, new Clock(), new Limits(128, 192), new Counters(), told.settings(), 1,
+        Dispatcher door = new Dispatcher(null, null, new MonotonicClock(), new Limits(128, 192), new Counters(), told.settings(), 1,
                 Router::new);
         int[] runs = new int[1];
         Runnable[] next = new Runnable[1];
         next[0] = () -> {
             if (++runs[0] < 200_000) {
-                door.afterwards(next[0]);
-                door.input(d -> { });
+                door.runAfterBatch(next[0]);
+                door.submitInput(d -> { });
             }
         };
-        door.afterwards(next[0]);
-        door.input(d -> { });
+        door.runAfterBatch(next[0]);
+        door.submitInput(d -> { });
         assertEquals(200_000, runs[0]);
     }
 
@@ -376,7 +376,7 @@
                 assertEquals("E:0A000 closed", old.answer());
             }
             try (Client ssl = new Client()) {
-                ssl.send(Unpooled.buffer().writeInt(8).writeInt(Frame.SSL));
+                ssl.send(Unpooled.buffer().writeInt(8).writeInt(Frame.SSL_REQUEST));
                 assertEquals('N', ssl.in.read());
                 assertEquals("T D:b C Z", ssl.startup().ask(write(3000, "b")));
             }
@@ -483,24 +483,24 @@
             EmbeddedChannel timers = new EmbeddedChannel();
             timers.freezeTime();
             Configuration told = Configuration.parse(configuration().toString());
-            Door door = new Door(timers.eventLoop(), null, new Clock() {
+            Dispatcher door = new Dispatcher(timers.eventLoop(), null, new MonotonicClock() {
                 @Override public long now() {
                     return ticks;
                 }
             }, new Limits(128, 192), new Counters(), told.settings(), 1, Router::new);
             Pool pool = door.pool("one");
-            door.listed(Listed.ListKind.FULL, List.of(new Listed(pool.member, "", "", 1, Listed.Phase.UP, true, 1, 0)));
+            door.membersListed(Listed.ListKind.FULL, List.of(new Listed(pool.member, "", "", 1, Listed.Phase.UP, true, 1, 0)));
             MemberConnection connection = new MemberConnection(door, pool, 0);
             EmbeddedChannel wire = new EmbeddedChannel(connection.decoder, connection);
-            wire.writeInbound(Messages.ready(Messages.welcome(Unpooled.buffer(), 1, 1)));
+            wire.writeInbound(Messages.readyForQuery(Messages.startupResponse(Unpooled.buffer(), 1, 1)));
             assertEquals(MemberConnection.State.IDLE, connection.state);
-            Send send = new Send(null, pool, 0, 1_000_000_000);
+            MemberRequest send = new MemberRequest(null, pool, 0, 1_000_000_000);
             pool.submit(send);
-            ByteBuf answer = Messages.row(Messages.columns(Unpooled.buffer(), "data"), "mine");
-            Messages.ready(Messages.complete(answer, "SELECT 1"));
+            ByteBuf answer = Messages.dataRow(Messages.rowDescription(Unpooled.buffer(), "data"), "mine");
+            Messages.readyForQuery(Messages.commandComplete(answer, "SELECT 1"));
             ByteBuf again = answer.copy();
             wire.writeInbound(answer);
-            assertTrue(send.done);
+            assertTrue(send.completed);
             assertEquals(MemberConnection.State.SETTLING, connection.state);
             ticks += door.settings().tick();
             if (copy) {
@@ -729,8 +729,8 @@
 
     /** The longest deadline was counted as three seconds at least: where it is shorter the kill came first. */
     @Test void stopEndsBeforeTheKill() {
-        assertTrue(Shutdown.longest(1_000_000_000L) < 1_700_000_000L);
-        assertTrue(Shutdown.longest(9_000_000_000L) < 3_700_000_000L);
+        assertTrue(Shutdown.maxDurationNanos(1_000_000_000L) < 1_700_000_000L);
+        assertTrue(Shutdown.maxDurationNanos(9_000_000_000L) < 3_700_000_000L);
     }
 
     /** The answer to what came before is owed all the same; the error and the end come after it. */
@@ -786,7 +786,7 @@
         List<Client> clients = new ArrayList<>(List.of(ready()));
         for (int i = 0; i < 300; i++) {
             clients.add(new Client());
-            assertTrue(count("client.open") <= limits.clients + 16, "the loop accepts up to sixteen at once");
+            assertTrue(count("client.open") <= limits.maxClients + 16, "the loop accepts up to sixteen at once");
         }
         serveOne();
         for (Client each : clients) {
@@ -849,7 +849,7 @@
         small.getAsJsonObject("settings").getAsJsonObject("Allowed").addProperty("ConnectTimeout", 5000.0);
         start(small);
         List<Client> clients = new ArrayList<>(List.of(ready()));
-        while (clients.size() < new Limits(128, 192).clientsWanted) {
+        while (clients.size() < new Limits(128, 192).clientsSoftLimit) {
             clients.add(new Client().startup());
         }
         for (int i = 0; i < 5; i++) {
@@ -870,7 +870,7 @@
         some.getAsJsonObject("limits").addProperty("sockets", 384);
         some.getAsJsonObject("settings").getAsJsonObject("Allowed").addProperty("ConnectTimeout", 5000.0);
         start(some);
-        int wanted = new Limits(384, 192).spokenWanted;
+        int wanted = new Limits(384, 192).startedSessionsSoftLimit;
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < wanted + 10; i++) {
             clients.add(new Client().startup());
@@ -897,11 +897,11 @@
         primary.fault = "silent";
         clients.get(0).send(Messages.query(Unpooled.buffer(), write(3000, "a")));
         await(() -> primary.statements.size() == 1, "one has an RPC in hand");
-        for (int i = 0; i < 3 * limits.clients; i++) {
+        for (int i = 0; i < 3 * limits.maxClients; i++) {
             Client client = new Client().startup();
             assertEquals("T D: C Z", client.ask(read("history", 1000)));
             clients.add(client);
-            assertTrue(count("client.open") <= limits.clients && count("member.open") <= limits.members);
+            assertTrue(count("client.open") <= limits.maxClients && count("member.open") <= limits.maxMemberConnections);
         }
         assertTrue(count("client.closed.room") > 0);
         assertEquals("E:58000 Z", clients.get(0).answer());
@@ -991,7 +991,7 @@
 
     /** On part of a core the first seconds in service went to compiling what serves: that is done before. */
     @Test void rehearsalServesEveryMethodManyTimes() throws IOException {
-        Map<String, Long> counters = Rehearsal.run(configuration().toString());
+        Map<String, Long> counters = WarmUp.run(configuration().toString());
         assertTrue(counters.getOrDefault("rpc.ok", 0L) > 200, counters.toString());
         assertEquals(counters.get("rpc.taken"), counters.get("rpc.ok") + counters.getOrDefault("rpc.pushedback", 0L)
                 + counters.getOrDefault("rpc.aborted", 0L), counters.toString());
--- a/src/test/java/reedquay/ops/OperatorsTest.java
+++ b/src/test/java/reedquay/ops/OperatorsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import reedquay.cli.Commands;
-import reedquay.net.Callers;
+import reedquay.net.ClientIdentifier;
 
 /** The operators' file: what is allowed, and what is told of what is not. */
 class OperatorsTest {
@@ -28,7 +28,7 @@
         Operators o = Operators.parse("f", "[fair]\nenabled = true\nclient = \"parameter:application_name\"\n"
                 + "memory_kb = 64\n[fair.weights]\nacme = 2\n\"a.b\" = 0.5\n");
         assertTrue(o.fair().enabled());
-        assertEquals(new Callers(Callers.Kind.PARAMETER, "application_name"), o.fair().client());
+        assertEquals(new ClientIdentifier(ClientIdentifier.Kind.PARAMETER, "application_name"), o.fair().client());
         assertEquals(2.0, o.fair().weights().get("acme"));
         assertEquals(0.5, o.fair().weights().get("a.b"));
         assertTrue(o.fair().terms().waiting() > 100 && o.fair().terms().waiting() < 1000);
--- a/src/test/java/reedquay/pg/FrameDecoderTest.java
+++ b/src/test/java/reedquay/pg/FrameDecoderTest.java
@@ -20,7 +20,7 @@
             channel.writeInbound(stream.readRetainedSlice(Math.min(step, stream.readableBytes())));
             for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
                 frames.add((char) f.type + ByteBufUtil.hexDump(f.content()));
-                assertEquals(f.content().readableBytes(), f.bodyLength() + (f.type == Frame.FIRST ? 4 : 5));
+                assertEquals(f.content().readableBytes(), f.bodyLength() + (f.type == Frame.UNTYPED ? 4 : 5));
                 f.release();
             }
         }
@@ -33,7 +33,7 @@
     @Test void framesAreTheSameByteByByteAndAllAtOnce() {
         SplittableRandom random = new SplittableRandom(11);
         for (int round = 0; round < 6; round++) {
-            ByteBuf stream = Messages.startup(Unpooled.buffer(), "portal", "crm");
+            ByteBuf stream = Messages.startupMessage(Unpooled.buffer(), "portal", "crm");
             List<String> expected = new ArrayList<>(List.of("\0" + ByteBufUtil.hexDump(stream)));
             for (int i = 0; i < 20; i++) {
                 int from = stream.writerIndex();
@@ -41,33 +41,33 @@
                     case 0 -> Messages.query(stream, "SELECT " + "x".repeat(random.nextInt(3000)));
                     case 1 -> Messages.query(stream, "");
                     case 2 -> stream.writeByte('S').writeInt(4);
-                    default -> Messages.complete(stream, "ä".repeat(random.nextInt(20)));
+                    default -> Messages.commandComplete(stream, "ä".repeat(random.nextInt(20)));
                 }
                 expected.add((char) stream.getByte(from)
                         + ByteBufUtil.hexDump(stream, from, stream.writerIndex() - from));
             }
             for (int step : new int[] {1, 7, 1 + random.nextInt(900), stream.readableBytes()}) {
-                assertEquals(expected, decode(new EmbeddedChannel(FrameDecoder.ofClient(9000)), stream.copy(), step));
+                assertEquals(expected, decode(new EmbeddedChannel(FrameDecoder.forClient(9000)), stream.copy(), step));
             }
             stream.release();
         }
     }
 
     @Test void encryptionIsAskedForBeforeTheFirstMessage() {
-        ByteBuf stream = Unpooled.buffer().writeInt(8).writeInt(Frame.SSL).writeInt(8).writeInt(Frame.GSS);
-        Messages.query(Messages.startup(stream, "u", "d"), "SELECT 1");
-        assertEquals(4, decode(new EmbeddedChannel(FrameDecoder.ofClient(99)), stream, 3).size());
+        ByteBuf stream = Unpooled.buffer().writeInt(8).writeInt(Frame.SSL_REQUEST).writeInt(8).writeInt(Frame.GSS_ENCRYPTION_REQUEST);
+        Messages.query(Messages.startupMessage(stream, "u", "d"), "SELECT 1");
+        assertEquals(4, decode(new EmbeddedChannel(FrameDecoder.forClient(99)), stream, 3).size());
     }
 
     @Test void lengthsAndTypesThatCannotBeEndTheStream() {
         ByteBuf[] bad = {Unpooled.buffer().writeInt(3), Unpooled.buffer().writeInt(-1),
             Unpooled.buffer().writeInt(20_000),
-            Messages.startup(Unpooled.buffer(), "u", "d").writeByte('Q').writeInt(3),
-            Messages.startup(Unpooled.buffer(), "u", "d").writeByte('Q').writeInt(1 << 30),
-            Messages.startup(Unpooled.buffer(), "u", "d").writeByte('?').writeInt(4)};
+            Messages.startupMessage(Unpooled.buffer(), "u", "d").writeByte('Q').writeInt(3),
+            Messages.startupMessage(Unpooled.buffer(), "u", "d").writeByte('Q').writeInt(1 << 30),
+            Messages.startupMessage(Unpooled.buffer(), "u", "d").writeByte('?').writeInt(4)};
         for (ByteBuf stream : bad) {
             stream.writeZero(8);
-            EmbeddedChannel channel = new EmbeddedChannel(FrameDecoder.ofClient(9000));
+            EmbeddedChannel channel = new EmbeddedChannel(FrameDecoder.forClient(9000));
             assertThrows(CorruptedFrameException.class, () -> channel.writeInbound(stream));
             channel.writeInbound(Messages.query(Unpooled.buffer(), "after"));
             List<Integer> types = new ArrayList<>();
@@ -87,14 +87,14 @@
             boolean client = random.nextBoolean();
             byte[] bytes = new byte[40 + random.nextInt(60)];
             random.nextBytes(bytes);
-            ByteBuf stream = client ? Messages.startup(Unpooled.buffer(), "u", "d") : Unpooled.buffer();
+            ByteBuf stream = client ? Messages.startupMessage(Unpooled.buffer(), "u", "d") : Unpooled.buffer();
             if (random.nextBoolean()) {
                 stream.writeByte("QDTEZ".charAt(random.nextInt(5))).writeInt(4 + random.nextInt(30));
             }
             stream.writeBytes(bytes);
             String expected = null;
             for (int cut = 0; cut <= stream.readableBytes(); cut++) {
-                FrameDecoder decoder = client ? FrameDecoder.ofClient(9000) : FrameDecoder.ofServer(9000);
+                FrameDecoder decoder = client ? FrameDecoder.forClient(9000) : FrameDecoder.forServer(9000);
                 EmbeddedChannel channel = new EmbeddedChannel(decoder);
                 StringBuilder got = new StringBuilder();
                 for (ByteBuf part : List.of(stream.copy(0, cut), stream.copy(cut, stream.readableBytes() - cut))) {
@@ -105,10 +105,10 @@
                     }
                 }
                 for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
-                    got.append((char) f.type).append(f.wellFormed()).append(ByteBufUtil.hexDump(f.content()));
+                    got.append((char) f.type).append(f.isWellFormed()).append(ByteBufUtil.hexDump(f.content()));
                     f.release();
                 }
-                got.append(decoder.begun()).append(decoder.waiting());
+                got.append(decoder.hasPartialMessage()).append(decoder.bufferedBytes());
                 expected = expected == null ? got.toString() : expected;
                 assertEquals(expected, got.toString());
                 channel.finishAndReleaseAll();
@@ -118,10 +118,10 @@
     }
 
     @Test void fieldsOfAnErrorAreReadBack() {
-        Frame frame = new Frame((byte) 'E', Messages.error(Unpooled.buffer(), "ERROR", "53300", "füll", "120"));
-        assertEquals("53300", frame.fields().get('C'));
-        assertEquals("füll", frame.fields().get('M'));
-        assertEquals("120", frame.fields().get('D'));
+        Frame frame = new Frame((byte) 'E', Messages.errorResponse(Unpooled.buffer(), "ERROR", "53300", "füll", "120"));
+        assertEquals("53300", frame.errorFields().get('C'));
+        assertEquals("füll", frame.errorFields().get('M'));
+        assertEquals("120", frame.errorFields().get('D'));
         frame.release();
     }
 
