--- a/lab/src/main/java/reedquay/fair/DoorCost.java
+++ b/lab/src/main/java/reedquay/fair/DoorCost.java
@@ -18,13 +18,13 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import reedquay.core.CallOut;
-import reedquay.core.Decider;
-import reedquay.core.Effects;
-import reedquay.core.Listed;
+import reedquay.core.RoutingEngine;
+import reedquay.core.RoutingActions;
+import reedquay.core.ListedMember;
 import reedquay.core.Member;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.Report;
+import reedquay.core.LoadReport;
 import reedquay.core.Role;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
@@ -41,49 +41,49 @@
 @Fork(1)
 public class DoorCost {
     private static final long MS = 1_000_000;
-    private static final Method READ = new Method("read", Method.Need.ANY, 0, 400 * MS, 1500 * MS, 1, 0,
-            Method.Effect.IDEMPOTENT, Method.Scope.ALL, 0);
+    private static final Method READ = new Method("read", Method.Consistency.ANY, 0, 400 * MS, 1500 * MS, 1, 0,
+            Method.RetrySafety.IDEMPOTENT, Method.DeduplicationScope.ALL, 0);
 
     /** Decisions that do next to nothing: an RPC is called out at once. */
-    private static final class Straight implements Decider {
-        private final Effects effects;
+    private static final class Straight implements RoutingEngine {
+        private final RoutingActions effects;
         private final Member member = new Member("m");
         private long now;
 
-        Straight(Effects effects) { this.effects = effects; }
+        Straight(RoutingActions effects) { this.effects = effects; }
 
-        @Override public void begin(long time) { now = time; }
+        @Override public void beginBatch(long time) { now = time; }
 
-        @Override public void list(Listed.ListKind kind, List<Listed> entries) { }
+        @Override public void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) { }
 
-        @Override public void arrived(Rpc rpc) {
+        @Override public void rpcArrived(Rpc rpc) {
             CallOut call = new CallOut(rpc, member, now);
             rpc.callOuts.add(call);
-            effects.callOut(call, 0);
+            effects.sendCallOut(call, 0);
         }
 
-        @Override public void done(CallOut c, Outcome o, long took, boolean ended, long p, Role role, Report r) { }
+        @Override public void callOutEnded(CallOut c, Outcome o, long took, boolean ended, long p, Role role, LoadReport r) { }
 
-        @Override public void ready(CallOut callOut) { }
+        @Override public void connectionReady(CallOut callOut) { }
 
-        @Override public void probed(Member m, Outcome outcome, long took, Report report) { }
+        @Override public void probeEnded(Member m, Outcome outcome, long took, LoadReport report) { }
 
         @Override public void clientGone(Rpc rpc) { }
 
-        @Override public void end() { }
+        @Override public void endBatch() { }
     }
 
     /** A front that does nothing. */
     private static final class Front extends Stage {
         Front() { super(null); }
 
-        @Override public void callOut(CallOut callOut, long limit) { }
+        @Override public void sendCallOut(CallOut callOut, long limit) { }
 
         @Override public void pushBack(Rpc rpc, long after) { }
 
-        @Override public void wakeIn(long delay) { }
+        @Override public void scheduleWakeUp(long delay) { }
 
-        @Override public void subscribe() { }
+        @Override public void requestMemberList() { }
 
         @Override public void log(String line) { }
     }
@@ -93,7 +93,7 @@
     public static class Calm {
         @Param({"NONE", "DOOR"})
         public String door;
-        private Decider decider;
+        private RoutingEngine decider;
         private long now = 1_000_000 * MS;
         private long id;
         private final String[] callers = new String[1024];
@@ -101,20 +101,20 @@
         @Setup public void setUp() {
             Settings settings = new Settings(1, "a", 0, 1, 5 * MS, List.of(READ),
                     List.of(new Settings.Tenant("acme", 100)),
-                    new Settings.Allowed(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
+                    new Settings.Capabilities(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
                     new Settings.Rules(0.25, 10_000 * MS, 3, 1000 * MS, 500 * MS, 20 * MS, 10_000 * MS, false),
-                    new Settings.Positions(true, false, true, false, false), new Settings.Prices(0, 0, 0, 0, 0));
+                    new Settings.PositionSources(true, false, true, false, false), new Settings.Costs(0, 0, 0, 0, 0));
             Front front = new Front();
             if (door.equals("NONE")) {
                 decider = new Straight(front);
             } else {
                 Turns turns = new Turns(settings, new Terms(1000, Map.of()), front);
-                decider = turns.before(new Straight(turns));
+                decider = turns.setNext(new Straight(turns));
             }
-            decider.begin(now);
-            decider.list(Listed.ListKind.FULL, List.of(new Listed(new Member("m"), "a", "s", 1, Listed.Phase.UP, true,
+            decider.beginBatch(now);
+            decider.membersListed(ListedMember.ListKind.FULL, List.of(new ListedMember(new Member("m"), "a", "s", 1, ListedMember.Phase.UP, true,
                     1, 0)));
-            decider.end();
+            decider.endBatch();
             for (int i = 0; i < callers.length; i++) {
                 callers[i] = "customer-" + i;
             }
@@ -123,14 +123,14 @@
         Rpc serve() {
             now += 100_000;
             Rpc rpc = new Rpc(++id, 1, null, now + 1500 * MS, false, 0, "acme", READ);
-            rpc.caller = callers[(int) id & 1023];
-            decider.begin(now);
-            decider.arrived(rpc);
-            decider.end();
+            rpc.clientId = callers[(int) id & 1023];
+            decider.beginBatch(now);
+            decider.rpcArrived(rpc);
+            decider.endBatch();
             rpc.ended = true;
-            decider.begin(now + 5 * MS);
-            decider.done(rpc.callOuts.get(0), Outcome.OK, 5 * MS, true, Report.NO_POSITION, Role.UNKNOWN, Report.NONE);
-            decider.end();
+            decider.beginBatch(now + 5 * MS);
+            decider.callOutEnded(rpc.callOuts.get(0), Outcome.OK, 5 * MS, true, LoadReport.NO_POSITION, Role.UNKNOWN, LoadReport.NONE);
+            decider.endBatch();
             return rpc;
         }
     }
--- a/lab/src/main/java/reedquay/lab/Crowd.java
+++ b/lab/src/main/java/reedquay/lab/Crowd.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiFunction;
-import reedquay.core.Decider;
-import reedquay.core.Effects;
+import reedquay.core.RoutingEngine;
+import reedquay.core.RoutingActions;
 import reedquay.core.Method;
 import reedquay.core.Settings;
 import reedquay.core.Stage;
@@ -21,10 +21,10 @@
     public static final long MS = Street.MS;
     public static final Method CHEAP = read("cheap", 1);
     public static final Method DEAR = read("dear", 1);
-    public static final Method WRITE = new Method("write", Method.Need.WRITE, 0, 400 * MS, 1500 * MS, 3, 0.5,
-            Method.Effect.TOKENED, Method.Scope.GROUP, 1000 * MS);
-    public static final Method ONCE = new Method("once", Method.Need.WRITE, 0, 400 * MS, 1500 * MS, 3, 0.5,
-            Method.Effect.NON_IDEMPOTENT, Method.Scope.GROUP, 0);
+    public static final Method WRITE = new Method("write", Method.Consistency.WRITE, 0, 400 * MS, 1500 * MS, 3, 0.5,
+            Method.RetrySafety.TOKENED, Method.DeduplicationScope.GROUP, 1000 * MS);
+    public static final Method ONCE = new Method("once", Method.Consistency.WRITE, 0, 400 * MS, 1500 * MS, 3, 0.5,
+            Method.RetrySafety.NON_IDEMPOTENT, Method.DeduplicationScope.GROUP, 0);
     public static final long CHEAP_WORK = 10 * MS;
     public static final long DEAR_WORK = 60 * MS;
     /** Cheap reads a second that the two replicas can do. */
@@ -36,15 +36,15 @@
     private Crowd() { }
 
     private static Method read(String name, double utility) {
-        return new Method(name, Method.Need.ANY, 0, 400 * MS, 1500 * MS, utility, 0, Method.Effect.IDEMPOTENT,
-                Method.Scope.ALL, 0);
+        return new Method(name, Method.Consistency.ANY, 0, 400 * MS, 1500 * MS, utility, 0, Method.RetrySafety.IDEMPOTENT,
+                Method.DeduplicationScope.ALL, 0);
     }
 
     public static Settings settings(Settings.Tenant... tenants) {
         return new Settings(11, "a", 0, 1, 5 * MS, List.of(CHEAP, DEAR, WRITE, ONCE), List.of(tenants),
-                new Settings.Allowed(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
+                new Settings.Capabilities(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
                 new Settings.Rules(0.25, 10_000 * MS, 3, 1000 * MS, 500 * MS, 20 * MS, 10_000 * MS, false),
-                new Settings.Positions(true, false, true, false, false), new Settings.Prices(0, 0, 0, 0, 0));
+                new Settings.PositionSources(true, false, true, false, false), new Settings.Costs(0, 0, 0, 0, 0));
     }
 
     /** Three tenants of equal shares, above what is asked for, so that the Router itself turns none away for it. */
@@ -53,23 +53,23 @@
                 new Settings.Tenant("blue", 1000));
     }
 
-    public static BiFunction<Settings, Effects, Decider> door(Before before, int waiting) {
+    public static BiFunction<Settings, RoutingActions, RoutingEngine> door(Before before, int waiting) {
         return (settings, effects) -> {
             if (before == Before.NOTHING) {
                 return new Router(settings, effects);
             }
             Settings told = before != Before.FIRST_COME ? settings : new Settings(settings.seed(), settings.zone(),
-                    settings.index(), settings.gateways(), settings.tick(), settings.methods(), List.of(),
-                    settings.allowed(), settings.rules(), settings.positions(), settings.prices());
+                    settings.gatewayIndex(), settings.gatewayCount(), settings.tick(), settings.methods(), List.of(),
+                    settings.capabilities(), settings.rules(), settings.positionSources(), settings.costs());
             Turns turns = new Turns(told, new Terms(waiting, Map.of()), effects);
             Stage first = before == Before.CLIENTS ? turns : new Stage(turns) {
-                @Override public void arrived(Rpc rpc) { // tells the door less than it could know
-                    rpc.caller = before == Before.FIRST_COME ? "all" : null;
-                    inner.arrived(rpc);
+                @Override public void rpcArrived(Rpc rpc) { // tells the door less than it could know
+                    rpc.clientId = before == Before.FIRST_COME ? "all" : null;
+                    next.rpcArrived(rpc);
                 }
             };
-            turns.before(new Router(settings, turns));
-            return first == turns ? turns : first.before(turns);
+            turns.setNext(new Router(settings, turns));
+            return first == turns ? turns : first.setNext(turns);
         };
     }
 
--- a/lab/src/main/java/reedquay/lab/Fleet.java
+++ b/lab/src/main/java/reedquay/lab/Fleet.java
@@ -13,14 +13,14 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import reedquay.core.CallOut;
-import reedquay.core.Decider;
-import reedquay.core.Effects;
-import reedquay.core.Listed;
+import reedquay.core.RoutingEngine;
+import reedquay.core.RoutingActions;
+import reedquay.core.ListedMember;
 import reedquay.core.Member;
 import reedquay.core.Method;
-import reedquay.core.Method.Need;
+import reedquay.core.Method.Consistency;
 import reedquay.core.Outcome;
-import reedquay.core.Report;
+import reedquay.core.LoadReport;
 import reedquay.core.Role;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
@@ -90,8 +90,8 @@
     }
 
     /** One gateway with its own Router; what it does is held against the rules. */
-    private final class Quiet implements Effects {
-        final Decider router;
+    private final class Quiet implements RoutingActions {
+        final RoutingEngine router;
         final Map<String, Member> members = new HashMap<>();
         final Map<Rpc, Long> since = new LinkedHashMap<>(); // those in hand, by when their clients first asked
         final Map<Rpc, Runnable> again = new HashMap<>();
@@ -111,41 +111,41 @@
 
         void turn(Runnable input) {
             if (!dead) {
-                router.begin(now);
+                router.beginBatch(now);
                 input.run();
-                router.end();
+                router.endBatch();
             }
         }
 
         void arrive(Rpc rpc, long first, Runnable later) {
             since.put(rpc, first);
             again.put(rpc, later);
-            turn(() -> router.arrived(rpc));
-            at(rpc.due + GRACE, () -> broken(!dead && !rpc.ended, "1: no answer in time"));
+            turn(() -> router.rpcArrived(rpc));
+            at(rpc.deadline + GRACE, () -> broken(!dead && !rpc.ended, "1: no answer in time"));
         }
 
-        @Override public void callOut(CallOut call, long limit) {
+        @Override public void sendCallOut(CallOut call, long limit) {
             Server server = servers.get(call.member.id);
             Rpc rpc = call.rpc;
             broken(rpc.ended, "1: sent after the end");
             broken(now >= closed.getOrDefault(server.id, Long.MAX_VALUE - GRACE) + GRACE, "3: sent to what drains");
             boolean excused = server.primary || server.hasBeen && !denied.contains(server.id);
-            long oldest = switch (rpc.method.need()) {
+            long oldest = switch (rpc.method.consistency()) {
                 case BOUNDED -> rpc.method.maxAge();
-                case SESSION -> rpc.tokenAge == 0 ? Long.MAX_VALUE : rpc.tokenAge + now - arrivedAt(rpc);
+                case SESSION -> rpc.sessionTokenAge == 0 ? Long.MAX_VALUE : rpc.sessionTokenAge + now - arrivedAt(rpc);
                 default -> Long.MAX_VALUE;
             };
             broken(!excused && server.behind(now) > oldest, "5: older than allowed");
             warm(server);
             long first = rpc.callOuts.stream().filter(c -> c != call && !neverRan.contains(c))
                     .mapToLong(c -> c.sentAt).min().orElse(Long.MAX_VALUE);
-            boolean twice = switch (rpc.method.effect()) {
+            boolean twice = switch (rpc.method.retrySafety()) {
                 case IDEMPOTENT -> false;
-                case TOKENED -> first < now && now - first >= rpc.method.window();
+                case TOKENED -> first < now && now - first >= rpc.method.deduplicationWindow();
                 case NON_IDEMPOTENT -> first <= now;
             };
             broken(twice, "2: twice");
-            if (rpc.method.need() == Need.WRITE && !server.primary) {
+            if (rpc.method.consistency() == Consistency.WRITE && !server.primary) {
                 at(now + 2 * MS, () -> turn(() -> answered(call, Outcome.MISS, server)));
             } else {
                 work(server, () -> turn(() -> answered(call, Outcome.OK, server)));
@@ -153,7 +153,7 @@
         }
 
         private long arrivedAt(Rpc rpc) {
-            return rpc.due - rpc.method.deadline();
+            return rpc.deadline - rpc.method.deadline();
         }
 
         private void answered(CallOut call, Outcome outcome, Server server) {
@@ -178,7 +178,7 @@
             if (outcome.provesNeverRan) {
                 neverRan.add(call);
             }
-            router.done(call, outcome, now - call.sentAt, call.rpc.ended, position, role, Report.NONE);
+            router.callOutEnded(call, outcome, now - call.sentAt, call.rpc.ended, position, role, LoadReport.NONE);
         }
 
         private void end(Rpc rpc) {
@@ -191,7 +191,7 @@
         @Override public void cancel(CallOut call) {
             at(now, () -> turn(() -> {
                 if (!call.ended) {
-                    done(call, Outcome.CANCELLED, Report.NO_POSITION, Role.UNKNOWN);
+                    done(call, Outcome.CANCELLED, LoadReport.NO_POSITION, Role.UNKNOWN);
                 }
             }));
         }
@@ -207,11 +207,11 @@
 
         @Override public void probe(Member member) {
             Server server = servers.get(member.id);
-            at(now + MS, () -> turn(() -> router.probed(member, server.up ? Outcome.OK : Outcome.NO_CONNECTION, MS,
-                    Report.NONE)));
+            at(now + MS, () -> turn(() -> router.probeEnded(member, server.up ? Outcome.OK : Outcome.NO_CONNECTION, MS,
+                    LoadReport.NONE)));
         }
 
-        @Override public void wakeIn(long delay) {
+        @Override public void scheduleWakeUp(long delay) {
             long mine = ++alarms;
             at(now + delay, () -> {
                 if (mine == alarms) {
@@ -220,15 +220,15 @@
             });
         }
 
-        @Override public void forget(Member member) {
+        @Override public void forgetMember(Member member) {
             members.remove(member.id);
         }
 
-        @Override public void go(CallOut call) { } // no send waits for its connection here
+        @Override public void proceed(CallOut call) { } // no send waits for its connection here
 
-        @Override public void closeIdle(Member member) { }
+        @Override public void closeIdleConnections(Member member) { }
 
-        @Override public void subscribe() { }
+        @Override public void requestMemberList() { }
 
         @Override public void log(String line) { }
     }
@@ -356,20 +356,20 @@
 
     private Quiet begin(int index) {
         Quiet gate = new Quiet(new Settings(random.nextLong(), "here", index, fleet, 5 * MS, methods, List.of(),
-                new Settings.Allowed(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
+                new Settings.Capabilities(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
                 new Settings.Rules(COLD_SHARE, COLD_FOR, MULTIPLE, WINDOW, GRACE, 20 * MS, 10_000 * MS, false),
-                new Settings.Positions(true, false, false, false, false),
-                new Settings.Prices(0.03, 0.08, 0.01, 0.01, 0.08)));
-        gate.turn(() -> gate.router.list(Listed.ListKind.REMEMBERED,
+                new Settings.PositionSources(true, false, false, false, false),
+                new Settings.Costs(0.03, 0.08, 0.01, 0.01, 0.08)));
+        gate.turn(() -> gate.router.membersListed(ListedMember.ListKind.CACHED,
                 servers.values().stream().filter(s -> s.up).map(s -> entry(gate, s)).toList()));
         return gate;
     }
 
-    private Listed entry(Quiet gate, Server s) {
+    private ListedMember entry(Quiet gate, Server s) {
         if (!s.up) {
             gate.closed.putIfAbsent(s.id, now);
         }
-        return new Listed(gate.member(s.id), "here", "std", s.group, s.up ? Listed.Phase.UP : Listed.Phase.DRAINING,
+        return new ListedMember(gate.member(s.id), "here", "std", s.group, s.up ? ListedMember.Phase.UP : ListedMember.Phase.DRAINING,
                 s.primary, 1, s.started);
     }
 
@@ -409,7 +409,7 @@
         Count count = counts.get(method);
         count.asked += tries == 0 ? 1 : 0;
         count.tries++;
-        boolean follows = method.need() == Need.SESSION && random.nextInt(3) > 0;
+        boolean follows = method.consistency() == Consistency.SESSION && random.nextInt(3) > 0;
         Rpc rpc = new Rpc(ids++, group, "s", now + method.deadline(), tries > 0,
                 follows ? (100 + random.nextInt(900)) * MS : 0, null, method);
         gate.arrive(rpc, first, () -> {
@@ -446,13 +446,13 @@
                 });
             }
         });
-        at(now + 2 * HANDED_OVER, () -> gates.forEach(g -> g.turn(() -> g.router.list(Listed.ListKind.CHANGES,
-                List.of(new Listed(g.member(old.id), "here", "std", old.group, Listed.Phase.GONE, false, 1, 0))))));
+        at(now + 2 * HANDED_OVER, () -> gates.forEach(g -> g.turn(() -> g.router.membersListed(ListedMember.ListKind.CHANGES,
+                List.of(new ListedMember(g.member(old.id), "here", "std", old.group, ListedMember.Phase.GONE, false, 1, 0))))));
     }
 
     private void tell(Server... changed) {
         for (Quiet gate : gates) {
-            at(now + random.nextInt(300) * MS, () -> gate.turn(() -> gate.router.list(Listed.ListKind.CHANGES,
+            at(now + random.nextInt(300) * MS, () -> gate.turn(() -> gate.router.membersListed(ListedMember.ListKind.CHANGES,
                     java.util.Arrays.stream(changed).map(s -> entry(gate, s)).toList())));
         }
     }
--- a/lab/src/main/java/reedquay/lab/Fleets.java
+++ b/lab/src/main/java/reedquay/lab/Fleets.java
@@ -36,7 +36,7 @@
             Troubles troubles = calm ? new Troubles(false, false, false) : usual(seed);
             fleet.run(seconds, load(seed), troubles);
             List<String> each = new ArrayList<>();
-            fleet.counts().forEach((m, c) -> each.add(String.format(Locale.ROOT, "%s %.0f %.2f: %.2f", m.need(),
+            fleet.counts().forEach((m, c) -> each.add(String.format(Locale.ROOT, "%s %.0f %.2f: %.2f", m.consistency(),
                     m.utility(), fleet.part(m), c.served())));
             System.out.printf(Locale.ROOT, "| %d | %d | %s | %.2f | %s | %s |%n", seed, fleet.gateways(),
                     words(troubles), least(fleet), String.join("; ", each), fleet.broken());
--- a/lab/src/main/java/reedquay/lab/Lab.java
+++ b/lab/src/main/java/reedquay/lab/Lab.java
@@ -92,7 +92,7 @@
                     System.out.println(before + " told " + told + " greedy rpcs " + greedy.rpcs);
                     if (street.decider() instanceof reedquay.core.Stage stage) {
                         for (String what : List.of("tenants", "ways", "clients")) {
-                            stage.show(what).stream().limit(8).forEach(r -> System.out.println(String.join("  ", r)));
+                            stage.statisticsTable(what).stream().limit(8).forEach(r -> System.out.println(String.join("  ", r)));
                         }
                     }
                 }
--- a/lab/src/main/java/reedquay/lab/Street.java
+++ b/lab/src/main/java/reedquay/lab/Street.java
@@ -12,13 +12,13 @@
 import java.util.function.IntToLongFunction;
 import org.HdrHistogram.Histogram;
 import reedquay.core.CallOut;
-import reedquay.core.Decider;
-import reedquay.core.Effects;
-import reedquay.core.Listed;
+import reedquay.core.RoutingEngine;
+import reedquay.core.RoutingActions;
+import reedquay.core.ListedMember;
 import reedquay.core.Member;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.Report;
+import reedquay.core.LoadReport;
 import reedquay.core.Role;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
@@ -27,7 +27,7 @@
  * One gateway's true decisions in simulated time: clients that come, come again and leave, members with cores and a
  * queue. All chance comes from one seed; two runs of one script are the same. Times in nanoseconds.
  */
-public final class Street implements Effects {
+public final class Street implements RoutingActions {
     public static final long MS = 1_000_000;
     private static final long START = 1_000_000_000 * MS / 1000;
 
@@ -118,7 +118,7 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
     private final SplittableRandom random;
-    private final Decider decider;
+    private final RoutingEngine decider;
     private final Settings settings;
     private final Map<Method, Long> service = new HashMap<>();
     private final List<Server> servers = new ArrayList<>();
@@ -137,7 +137,7 @@
     /** What broke a rule here: two answers, a call-out after the end. */
     public long broken;
 
-    public Street(Settings settings, long seed, BiFunction<Settings, Effects, Decider> maker) {
+    public Street(Settings settings, long seed, BiFunction<Settings, RoutingActions, RoutingEngine> maker) {
         this.settings = settings;
         random = new SplittableRandom(seed);
         decider = maker.apply(settings, this);
@@ -145,14 +145,14 @@
 
     /** One group: a primary and replicas with so many cores each. */
     public Street group(int replicas, int cores) {
-        List<Listed> entries = new ArrayList<>();
+        List<ListedMember> entries = new ArrayList<>();
         for (int i = 0; i <= replicas; i++) {
             Server s = new Server("m" + i, i == 0, cores);
             servers.add(s);
-            s.member.front = s;
-            entries.add(new Listed(s.member, "a", "std", 1, Listed.Phase.UP, s.primary, 1, 0));
+            s.member.frontState = s;
+            entries.add(new ListedMember(s.member, "a", "std", 1, ListedMember.Phase.UP, s.primary, 1, 0));
         }
-        input(() -> decider.list(Listed.ListKind.FULL, entries));
+        input(() -> decider.membersListed(ListedMember.ListKind.FULL, entries));
         return this;
     }
 
@@ -207,7 +207,7 @@
         }
     }
 
-    public Decider decider() { return decider; }
+    public RoutingEngine decider() { return decider; }
 
     private void later(long time, Runnable what) {
         events.add(new Event(Math.max(time, now), order++, what));
@@ -220,9 +220,9 @@
         }
         inBatch = true;
         while (!inputs.isEmpty()) {
-            decider.begin(now);
+            decider.beginBatch(now);
             inputs.pollFirst().run();
-            decider.end();
+            decider.endBatch();
         }
         inBatch = false;
     }
@@ -250,11 +250,11 @@
         s.rpcs++;
         r.tries++;
         Rpc rpc = new Rpc(++ids, 1, r.caller, now + s.method.deadline(), r.tries > 1, 0, s.tenant, s.method);
-        rpc.caller = r.caller;
-        rpc.front = now;
+        rpc.clientId = r.caller;
+        rpc.frontState = now;
         asked.put(rpc, r);
-        input(() -> decider.arrived(rpc));
-        later(rpc.due, () -> {
+        input(() -> decider.rpcArrived(rpc));
+        later(rpc.deadline, () -> {
             if (!rpc.ended) {
                 rpc.ended = true;
                 asked.remove(rpc);
@@ -265,7 +265,7 @@
 
     private void served(Rpc rpc, double worked) {
         Request r = asked.remove(rpc);
-        long took = now - (Long) rpc.front;
+        long took = now - (Long) rpc.frontState;
         boolean inTime = took <= rpc.method.softDeadline();
         r.stream.work += worked;
         r.stream.served++;
@@ -283,8 +283,8 @@
     private void turnedAway(Rpc rpc, long after) {
         Request r = asked.remove(rpc);
         r.stream.pushedBack++;
-        long waited = now - (Long) rpc.front;
-        if (rpc.callOuts.isEmpty() && waited > (rpc.due - (Long) rpc.front) / 2) {
+        long waited = now - (Long) rpc.frontState;
+        if (rpc.callOuts.isEmpty() && waited > (rpc.deadline - (Long) rpc.frontState) / 2) {
             keptBack++;
         }
         if (r.stream.once || r.stream.manner != Manner.DEAF && r.tries > 3) {
@@ -326,25 +326,25 @@
             return;
         }
         c.ended = true;
-        Server s = (Server) c.member.front;
+        Server s = (Server) c.member.frontState;
         if (outcome == Outcome.OK && !c.rpc.ended) {
             c.rpc.ended = true;
             served(c.rpc, lastAnswer);
         }
         boolean ended = c.rpc.ended;
         boolean tells = outcome == Outcome.OK;
-        input(() -> decider.done(c, outcome, now - c.sentAt, ended, tells ? now : Report.NO_POSITION,
-                !tells ? Role.UNKNOWN : s.primary ? Role.PRIMARY : Role.REPLICA, Report.NONE));
+        input(() -> decider.callOutEnded(c, outcome, now - c.sentAt, ended, tells ? now : LoadReport.NO_POSITION,
+                !tells ? Role.UNKNOWN : s.primary ? Role.PRIMARY : Role.REPLICA, LoadReport.NONE));
     }
 
     // ---- Effects ----
 
-    @Override public void callOut(CallOut c, long limit) {
+    @Override public void sendCallOut(CallOut c, long limit) {
         broken += c.rpc.ended ? 1 : 0;
-        Server s = (Server) c.member.front;
+        Server s = (Server) c.member.frontState;
         later(now + MS / 4, () -> {
             if (!s.up) {
-                later(now + settings.allowed().connectTimeout(), () -> finish(c, Outcome.NO_CONNECTION));
+                later(now + settings.capabilities().connectTimeout(), () -> finish(c, Outcome.NO_CONNECTION));
             } else if (s.queue.size() >= 64) {
                 finish(c, Outcome.FULL);
             } else {
@@ -354,7 +354,7 @@
         });
     }
 
-    @Override public void go(CallOut c) { }
+    @Override public void proceed(CallOut c) { }
 
     @Override public void cancel(CallOut c) {
         later(now, () -> finish(c, Outcome.CANCELLED));
@@ -373,17 +373,17 @@
     }
 
     @Override public void probe(Member m) {
-        Server s = (Server) m.front;
-        later(now + MS / 2, () -> input(() -> decider.probed(m, s.up ? Outcome.OK : Outcome.TIMED_OUT, MS / 2,
-                s.up ? new Report(now - 5 * MS, s.primary ? Role.PRIMARY : Role.REPLICA, -1, -1, -1)
-                        : Report.NONE)));
+        Server s = (Server) m.frontState;
+        later(now + MS / 2, () -> input(() -> decider.probeEnded(m, s.up ? Outcome.OK : Outcome.TIMED_OUT, MS / 2,
+                s.up ? new LoadReport(now - 5 * MS, s.primary ? Role.PRIMARY : Role.REPLICA, -1, -1, -1)
+                        : LoadReport.NONE)));
     }
 
-    @Override public void closeIdle(Member m) { }
+    @Override public void closeIdleConnections(Member m) { }
 
-    @Override public void forget(Member m) { }
+    @Override public void forgetMember(Member m) { }
 
-    @Override public void wakeIn(long delay) {
+    @Override public void scheduleWakeUp(long delay) {
         long mine = ++alarm;
         later(now + delay, () -> {
             if (mine == alarm) {
@@ -392,7 +392,7 @@
         });
     }
 
-    @Override public void subscribe() { }
+    @Override public void requestMemberList() { }
 
     @Override public void log(String line) { }
 }
--- a/lab/src/test/java/reedquay/lab/CrowdTest.java
+++ b/lab/src/test/java/reedquay/lab/CrowdTest.java
@@ -202,7 +202,7 @@
     }
 
     private static long queued(Street street) {
-        return Long.parseLong(((Stage) street.decider()).show("ways").get(1)[4]);
+        return Long.parseLong(((Stage) street.decider()).statisticsTable("ways").get(1)[4]);
     }
 
     @Test void sameSeedSameEverything() {
@@ -214,7 +214,7 @@
             street.run(3000);
             StringBuilder all = new StringBuilder();
             for (String what : List.of("tenants", "ways", "clients")) {
-                ((Stage) street.decider()).show(what).forEach(r -> all.append(String.join(" ", r)).append('\n'));
+                ((Stage) street.decider()).statisticsTable(what).forEach(r -> all.append(String.join(" ", r)).append('\n'));
             }
             runs[i] = all.toString();
         }
--- a/lab/src/test/java/reedquay/lab/FleetTest.java
+++ b/lab/src/test/java/reedquay/lab/FleetTest.java
@@ -39,7 +39,7 @@
             fleet.run(12, 0.4, new Troubles(false, false, false));
         }
         assertEquals(Map.of(), fleet.broken());
-        fleet.counts().forEach((m, c) -> assertTrue(c.inTime > 0, m.need() + " was never served"));
+        fleet.counts().forEach((m, c) -> assertTrue(c.inTime > 0, m.consistency() + " was never served"));
         assertTrue(fleet.kept() < 1024 + 256, "kept " + fleet.kept() + " of 3072 named");
     }
 }
--- a/src/main/java/reedquay/core/CallOut.java
+++ b/src/main/java/reedquay/core/CallOut.java
@@ -8,9 +8,9 @@
     public long sentAt;
     public boolean ended;
     /** Set by the front while it still waits for its connection: it has not gone, and cannot but by go. */
-    public boolean waiting;
+    public boolean awaitingConnection;
     /** What the front keeps about it; nobody else reads it. */
-    public Object front;
+    public Object frontState;
 
     public CallOut(Rpc rpc, Member member, long sentAt) {
         this.rpc = rpc;
--- a/src/main/java/reedquay/core/Decimal.java
+++ b/src/main/java/reedquay/core/Decimal.java
@@ -8,7 +8,7 @@
     private Decimal() { }
 
     /** A decimal text as a whole number of its 10^-digits parts, without a detour through doubles. */
-    public static long scaled(String text, int digits) {
+    public static long parseScaled(String text, int digits) {
         int dot = text.indexOf('.');
         int end = text.length();
         if (text.indexOf('e') >= 0 || text.indexOf('E') >= 0 || end > 17
--- a/src/main/java/reedquay/core/Latency.java
+++ b/src/main/java/reedquay/core/Latency.java
@@ -38,7 +38,7 @@
     }
 
     /** The upper end of the bin that holds the given share of what was seen. */
-    public long below(double share, long assumed) {
+    public long quantile(double share, long assumed) {
         int left = (int) Math.ceil(total * share);
         for (int i = 0; i < BINS && total > 0; i++) {
             left -= counts[i];
--- a/src/main/java/reedquay/core/Reports.java
+++ b/src/main/java/reedquay/core/LoadReportParser.java
@@ -1,11 +1,11 @@
 package reedquay.core;
 
 /** Turns the numbers that members tell into positions and load reports, the same for all fronts. */
-public final class Reports {
+public final class LoadReportParser {
     private final String[] names;
     private final long zero;
 
-    Reports(String[] names, long zero) {
+    LoadReportParser(String[] names, long zero) {
         this.names = names;
         this.zero = zero;
     }
@@ -16,7 +16,7 @@
     }
 
     /** Values in the order that the settings name them. Throws NumberFormatException. */
-    public Report inOrder(String[] values) {
+    public LoadReport parseOrdered(String[] values) {
         if (values.length > names.length) {
             throw new NumberFormatException("more values than names");
         }
@@ -24,7 +24,7 @@
     }
 
     /** Pairs name=value set apart by commas. Throws NumberFormatException. */
-    public Report named(String pairs) {
+    public LoadReport parsePairs(String pairs) {
         String[] parts = pairs.isEmpty() ? new String[0] : pairs.split(",");
         String[] keys = new String[parts.length];
         String[] values = new String[parts.length];
@@ -36,8 +36,8 @@
         return read(keys, values);
     }
 
-    private Report read(String[] keys, String[] values) {
-        long position = Report.NO_POSITION;
+    private LoadReport read(String[] keys, String[] values) {
+        long position = LoadReport.NO_POSITION;
         Role role = Role.UNKNOWN;
         double queue = -1;
         double busy = -1;
@@ -46,7 +46,7 @@
             if (values[i].isEmpty() || values[i].equals("-")) {
                 continue;
             }
-            long value = Decimal.scaled(values[i], 9);
+            long value = Decimal.parseScaled(values[i], 9);
             switch (keys[i]) {
                 case "x0" -> position = zero + value;
                 case "x1" -> role = value >= 500_000_000 ? Role.PRIMARY : Role.REPLICA;
@@ -56,6 +56,6 @@
                 default -> { }
             }
         }
-        return new Report(position, role, queue, busy, inFlight);
+        return new LoadReport(position, role, queue, busy, inFlight);
     }
 }
--- a/src/main/java/reedquay/core/Member.java
+++ b/src/main/java/reedquay/core/Member.java
@@ -4,9 +4,9 @@
 public final class Member {
     public final String id;
     /** What the decisions keep about it; nobody else reads it. */
-    public Object state;
+    public Object routingState;
     /** What the front keeps about it; nobody else reads it. */
-    public Object front;
+    public Object frontState;
 
     public Member(String id) {
         this.id = id;
--- a/src/main/java/reedquay/core/Effects.java
+++ b/src/main/java/reedquay/core/RoutingActions.java
@@ -1,12 +1,12 @@
 package reedquay.core;
 
 /** What the decisions can bring about; carried out in the order of the calls. */
-public interface Effects {
+public interface RoutingActions {
     /** The call-out has been added to its RPC's list; limit counts from now. */
-    void callOut(CallOut callOut, long limit);
+    void sendCallOut(CallOut callOut, long limit);
 
     /** What ready asked about goes out now. */
-    void go(CallOut callOut);
+    void proceed(CallOut callOut);
 
     void cancel(CallOut callOut);
 
@@ -18,14 +18,14 @@
     void probe(Member member);
 
     /** Connections to the member that carry nothing now are not to be used again. */
-    void closeIdle(Member member);
+    void closeIdleConnections(Member member);
 
     /** The member is gone and nothing is out there: nothing of it is kept; named again it is a new one. */
-    void forget(Member member);
+    void forgetMember(Member member);
 
-    void wakeIn(long delay);
+    void scheduleWakeUp(long delay);
 
-    void subscribe();
+    void requestMemberList();
 
     void log(String line);
 }
--- a/src/main/java/reedquay/core/SettingsReader.java
+++ b/src/main/java/reedquay/core/SettingsReader.java
@@ -13,7 +13,7 @@
     }
 
     /** Throws IllegalArgumentException where a value is not of its kind. */
-    public Settings settings(long seed) {
+    public Settings readSettings(long seed) {
         List<Method> methods = new ArrayList<>();
         String[] needs = list("Domain.ClassRead");
         String[] ages = list("Domain.MaxAge");
@@ -34,7 +34,7 @@
         boolean x0 = List.of(list("Report.Names")).contains("x0");
         return new Settings(seed, text("MyZone", ""), (int) number("Index", 0),
                 Math.max(1, (int) number("PeersTotal", 1)), time("Tick", 1), methods, tenants,
-                new Settings.Allowed(flag("Allowed.Probes"), flag("Allowed.Peers"), flag("Allowed.Cancel"),
+                new Settings.Capabilities(flag("Allowed.Probes"), flag("Allowed.Peers"), flag("Allowed.Cancel"),
                         flag("Allowed.MayDuplicate"), flag("Allowed.RetryAfter"),
                         time("Allowed.MaxRetryAfter", 0), (int) number("Allowed.SendCap", 1),
                         time("Allowed.ConnectTimeout", 0),
@@ -43,10 +43,10 @@
                         number("Rules.OverloadFactor", 1), time("Rules.Fall", 0), time("Rules.DrainGrace", 0),
                         time("Rules.GraceToAnswer", 0), time("Rules.AskEvery", 0),
                         flag("Rules.DroppedStayOpen")),
-                new Settings.Positions(flag("Domain.ProgressTold"), how.equals("piggyback") && x0,
+                new Settings.PositionSources(flag("Domain.ProgressTold"), how.equals("piggyback") && x0,
                         !how.equals("silent") && x0, text("Domain.TokenMode", "carried").equals("remembered"),
                         !text("Domain.Guards", "silent").equals("silent")),
-                new Settings.Prices(number("Deductions.CrossZone", 0), number("Deductions.Waste", 0),
+                new Settings.Costs(number("Deductions.CrossZone", 0), number("Deductions.Waste", 0),
                         number("Deductions.Probe", 0), number("Deductions.Peer", 0),
                         number("Deductions.LateFail", 0)));
     }
@@ -60,43 +60,43 @@
     }
 
     /** Reads load reports and positions, which count from the given zero. */
-    public Reports reports(long zero) {
-        return new Reports(list("Report.Names"), zero);
+    public LoadReportParser loadReportParser(long zero) {
+        return new LoadReportParser(list("Report.Names"), zero);
     }
 
     /** The clock time from which the simulator counts positions; elsewhere they are Unix times. */
-    public long simulatorsZero() {
+    public long simulatorEpoch() {
         return time("Domain.CountedFrom", 0);
     }
 
     /** How long a connection may be idle before the member closes it. */
-    public long keepalive() {
+    public long keepaliveTimeout() {
         return time("Allowed.Keepalive", 0);
     }
 
-    private static Method.Need need(String word) {
+    private static Method.Consistency need(String word) {
         return switch (word) {
-            case "write" -> Method.Need.WRITE;
-            case "session" -> Method.Need.SESSION;
-            case "bounded" -> Method.Need.BOUNDED;
-            case "any" -> Method.Need.ANY;
-            default -> Method.Need.FRESH;
+            case "write" -> Method.Consistency.WRITE;
+            case "session" -> Method.Consistency.SESSION;
+            case "bounded" -> Method.Consistency.BOUNDED;
+            case "any" -> Method.Consistency.ANY;
+            default -> Method.Consistency.FRESH;
         };
     }
 
-    private static Method.Effect effect(String word) {
+    private static Method.RetrySafety effect(String word) {
         return switch (word) {
-            case "free" -> Method.Effect.IDEMPOTENT;
-            case "guarded" -> Method.Effect.TOKENED;
-            default -> Method.Effect.NON_IDEMPOTENT;
+            case "free" -> Method.RetrySafety.IDEMPOTENT;
+            case "guarded" -> Method.RetrySafety.TOKENED;
+            default -> Method.RetrySafety.NON_IDEMPOTENT;
         };
     }
 
-    private static Method.Scope scope(String word) {
+    private static Method.DeduplicationScope scope(String word) {
         return switch (word) {
-            case "all" -> Method.Scope.ALL;
-            case "zone", "same_zone" -> Method.Scope.ZONE;
-            default -> Method.Scope.GROUP;
+            case "all" -> Method.DeduplicationScope.ALL;
+            case "zone", "same_zone" -> Method.DeduplicationScope.ZONE;
+            default -> Method.DeduplicationScope.GROUP;
         };
     }
 
@@ -129,7 +129,7 @@
 
     private long millis(String value) {
         try {
-            return Decimal.scaled(value, 6);
+            return Decimal.parseScaled(value, 6);
         } catch (NumberFormatException | ArithmeticException e) {
             throw bad("a time in milliseconds instead of " + value);
         }
--- a/src/main/java/reedquay/core/Stage.java
+++ b/src/main/java/reedquay/core/Stage.java
@@ -7,114 +7,114 @@
  * What stands between a front and the decisions: a Decider to the one, Effects to the other. By itself it passes
  * everything on; a stage that has something to decide overrides what it needs. Stages can be chained.
  */
-public abstract class Stage implements Decider, Effects {
-    protected final Effects outer;
-    protected Decider inner;
+public abstract class Stage implements RoutingEngine, RoutingActions {
+    protected final RoutingActions actions;
+    protected RoutingEngine next;
 
-    protected Stage(Effects outer) {
-        this.outer = outer;
+    protected Stage(RoutingActions outer) {
+        this.actions = outer;
     }
 
     /** What it stands before; told once, before the first input. */
-    public Stage before(Decider decider) {
-        inner = decider;
+    public Stage setNext(RoutingEngine decider) {
+        next = decider;
         return this;
     }
 
     /** The tables that an operator can ask for by name, each with its column names first; null for others. */
-    public List<String[]> show(String what) {
-        return inner instanceof Stage next ? next.show(what) : null;
+    public List<String[]> statisticsTable(String what) {
+        return next instanceof Stage filter ? filter.statisticsTable(what) : null;
     }
 
     /** Adds what it has counted, by names that begin with its own. */
-    public void counts(Map<String, Long> all) {
-        if (inner instanceof Stage next) {
-            next.counts(all);
+    public void addCounters(Map<String, Long> all) {
+        if (next instanceof Stage filter) {
+            filter.addCounters(all);
         }
     }
 
-    @Override public void begin(long now) {
-        inner.begin(now);
+    @Override public void beginBatch(long now) {
+        next.beginBatch(now);
     }
 
-    @Override public void list(Listed.ListKind kind, List<Listed> entries) {
-        inner.list(kind, entries);
+    @Override public void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) {
+        next.membersListed(kind, entries);
     }
 
-    @Override public void arrived(Rpc rpc) {
-        inner.arrived(rpc);
+    @Override public void rpcArrived(Rpc rpc) {
+        next.rpcArrived(rpc);
     }
 
-    @Override public void done(CallOut callOut, Outcome outcome, long took, boolean ended, long position, Role role,
-            Report report) {
-        inner.done(callOut, outcome, took, ended, position, role, report);
+    @Override public void callOutEnded(CallOut callOut, Outcome outcome, long took, boolean ended, long position, Role role,
+            LoadReport report) {
+        next.callOutEnded(callOut, outcome, took, ended, position, role, report);
     }
 
-    @Override public void ready(CallOut callOut) {
-        inner.ready(callOut);
+    @Override public void connectionReady(CallOut callOut) {
+        next.connectionReady(callOut);
     }
 
-    @Override public void probed(Member member, Outcome outcome, long took, Report report) {
-        inner.probed(member, outcome, took, report);
+    @Override public void probeEnded(Member member, Outcome outcome, long took, LoadReport report) {
+        next.probeEnded(member, outcome, took, report);
     }
 
     @Override public void clientGone(Rpc rpc) {
-        inner.clientGone(rpc);
+        next.clientGone(rpc);
     }
 
-    @Override public String why(Rpc rpc) {
-        return inner.why(rpc);
+    @Override public String explain(Rpc rpc) {
+        return next.explain(rpc);
     }
 
-    @Override public void dueSooner(Rpc rpc) {
-        inner.dueSooner(rpc);
+    @Override public void deadlineShortened(Rpc rpc) {
+        next.deadlineShortened(rpc);
     }
 
-    @Override public void end() {
-        inner.end();
+    @Override public void endBatch() {
+        next.endBatch();
     }
 
-    @Override public void callOut(CallOut callOut, long limit) {
-        outer.callOut(callOut, limit);
+    @Override public void sendCallOut(CallOut callOut, long limit) {
+        actions.sendCallOut(callOut, limit);
     }
 
-    @Override public void go(CallOut callOut) {
-        outer.go(callOut);
+    @Override public void proceed(CallOut callOut) {
+        actions.proceed(callOut);
     }
 
     @Override public void cancel(CallOut callOut) {
-        outer.cancel(callOut);
+        actions.cancel(callOut);
     }
 
     @Override public void pushBack(Rpc rpc, long after) {
-        outer.pushBack(rpc, after);
+        actions.pushBack(rpc, after);
     }
 
     @Override public void abort(Rpc rpc) {
-        outer.abort(rpc);
+        actions.abort(rpc);
     }
 
     @Override public void probe(Member member) {
-        outer.probe(member);
+        actions.probe(member);
     }
 
-    @Override public void closeIdle(Member member) {
-        outer.closeIdle(member);
+    @Override public void closeIdleConnections(Member member) {
+        actions.closeIdleConnections(member);
     }
 
-    @Override public void forget(Member member) {
-        outer.forget(member);
+    @Override public void forgetMember(Member member) {
+        actions.forgetMember(member);
     }
 
-    @Override public void wakeIn(long delay) {
-        outer.wakeIn(delay);
+    @Override public void scheduleWakeUp(long delay) {
+        actions.scheduleWakeUp(delay);
     }
 
-    @Override public void subscribe() {
-        outer.subscribe();
+    @Override public void requestMemberList() {
+        actions.requestMemberList();
     }
 
     @Override public void log(String line) {
-        outer.log(line);
+        actions.log(line);
     }
 }
--- a/src/main/java/reedquay/fair/Heaviest.java
+++ b/src/main/java/reedquay/fair/Heaviest.java
@@ -40,7 +40,7 @@
         error[at] = spare ? 0 : work[at];
         work[at] = error[at] + by;
         key[at] = client;
-        name[at] = (rpc.tenant == null ? "" : rpc.tenant) + (rpc.caller == null ? "" : " " + rpc.caller);
+        name[at] = (rpc.tenant == null ? "" : rpc.tenant) + (rpc.clientId == null ? "" : " " + rpc.clientId);
         pushedBack[at] = 0;
     }
 
--- a/src/main/java/reedquay/fair/Turns.java
+++ b/src/main/java/reedquay/fair/Turns.java
@@ -14,12 +14,12 @@
 import java.util.function.BiPredicate;
 import java.util.zip.CRC32;
 import reedquay.core.CallOut;
-import reedquay.core.Effects;
+import reedquay.core.RoutingActions;
 import reedquay.core.Latency;
-import reedquay.core.Listed;
+import reedquay.core.ListedMember;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.Report;
+import reedquay.core.LoadReport;
 import reedquay.core.Role;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
@@ -130,7 +130,7 @@
     private boolean marks; // clients have been seen to mark further tries
     private boolean freed;
 
-    public Turns(Settings settings, Terms terms, Effects effects) {
+    public Turns(Settings settings, Terms terms, RoutingActions effects) {
         super(effects);
         this.settings = settings;
         tick = settings.tick();
@@ -139,7 +139,7 @@
         long most = settings.methods().stream().mapToLong(Method::deadline).max().orElse(second);
         spokeWidth = Math.max(1, brisk / 32);
         wheel = new Turn[(int) (most / 2 / spokeWidth) + 3];
-        longest = settings.allowed().retryAfter() ? settings.allowed().longestRetryAfter() : 0;
+        longest = settings.capabilities().retryAfter() ? settings.capabilities().maxRetryAfter() : 0;
         double least = NEVER;
         for (Settings.Tenant t : settings.tenants()) {
             if (tenants.putIfAbsent(t.name(), tallies.size()) == null) {
@@ -172,11 +172,11 @@
 
     // ---- Inputs ----
 
-    @Override public void begin(long time) {
+    @Override public void beginBatch(long time) {
         now = time;
         alarmAt = now + tick >= alarmAt ? NEVER : alarmAt; // by a coarser clock it rings early
         routerAt = now >= routerAt ? NEVER : routerAt;
-        inner.begin(now);
+        next.beginBatch(now);
         for (int i = 0; i < all.size(); i++) {
             Ways w = all.get(i);
             w.turn(now);
@@ -197,11 +197,11 @@
         }
     }
 
-    @Override public void list(Listed.ListKind kind, List<Listed> entries) {
-        for (Listed entry : entries) {
+    @Override public void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) {
+        for (ListedMember entry : entries) {
             groups.computeIfAbsent(entry.group(), g -> new Ways[] {way(), way()});
         }
-        inner.list(kind, entries);
+        next.membersListed(kind, entries);
     }
 
     private Ways way() {
@@ -211,10 +211,10 @@
         return made;
     }
 
-    @Override public void arrived(Rpc rpc) {
+    @Override public void rpcArrived(Rpc rpc) {
         Ways[] ways = rpc.method == null ? null : groups.get(rpc.group);
         Turn turn = new Turn(rpc, ways == null ? null : ways[read(rpc.method) ? 0 : 1], tenant(rpc), now);
-        rpc.turn = turn;
+        rpc.filterState = turn;
         turn.sampled = (++taken & 3) == 0;
         tallies.get(turn.tenant).in++;
         step(turn, Input.ARRIVE);
@@ -230,8 +230,8 @@
      * What waits for data to be recent enough waits for something else.
      */
     private static boolean plain(Rpc rpc) {
-        Method.Need need = rpc.method.need();
-        return need != Method.Need.BOUNDED && (need != Method.Need.SESSION || rpc.tokenAge == 0);
+        Method.Consistency need = rpc.method.consistency();
+        return need != Method.Consistency.BOUNDED && (need != Method.Consistency.SESSION || rpc.sessionTokenAge == 0);
     }
 
     /** Without pressure one in four is measured: it costs more than all else that is done for an RPC then. */
@@ -240,12 +240,12 @@
     }
 
     private static boolean read(Method m) {
-        return m.need() != Method.Need.WRITE && m.need() != Method.Need.FRESH;
+        return m.consistency() != Method.Consistency.WRITE && m.consistency() != Method.Consistency.FRESH;
     }
 
-    @Override public void done(CallOut call, Outcome outcome, long took, boolean ended, long position, Role role,
-            Report report) {
-        Turn turn = (Turn) call.rpc.turn;
+    @Override public void callOutEnded(CallOut call, Outcome outcome, long took, boolean ended, long position, Role role,
+            LoadReport report) {
+        Turn turn = (Turn) call.rpc.filterState;
         if (outcome == Outcome.OK && sampled(turn)) {
             cost(call.rpc.method).add(took);
         }
@@ -255,11 +255,11 @@
         if (ended && outcome == Outcome.OK) {
             step(turn, Input.ANSWERED);
         }
-        inner.done(call, outcome, took, ended, position, role, report);
+        next.callOutEnded(call, outcome, took, ended, position, role, report);
     }
 
-    @Override public void callOut(CallOut call, long limit) {
-        Turn turn = (Turn) call.rpc.turn;
+    @Override public void sendCallOut(CallOut call, long limit) {
+        Turn turn = (Turn) call.rpc.filterState;
         if (!turn.sent && turn.ways != null && plain(call.rpc)) {
             turn.held = now > turn.inside;
             boolean answers = now - brisk <= turn.ways.okAt; // else it is gone or unknown, and not full
@@ -268,46 +268,46 @@
             }
         }
         turn.sent = true;
-        outer.callOut(call, limit);
+        actions.sendCallOut(call, limit);
     }
 
     @Override public void clientGone(Rpc rpc) {
-        Turn turn = (Turn) rpc.turn;
+        Turn turn = (Turn) rpc.filterState;
         step(turn, Input.GONE);
         if (turn.seen) { // the Router knows of no other
-            inner.clientGone(rpc);
+            next.clientGone(rpc);
         }
     }
 
-    @Override public String why(Rpc rpc) {
-        return ((Turn) rpc.turn).seen ? inner.why(rpc) : "at the door, " + why;
+    @Override public String explain(Rpc rpc) {
+        return ((Turn) rpc.filterState).seen ? next.explain(rpc) : "at the door, " + why;
     }
 
-    @Override public void dueSooner(Rpc rpc) {
-        Turn turn = (Turn) rpc.turn;
+    @Override public void deadlineShortened(Rpc rpc) {
+        Turn turn = (Turn) rpc.filterState;
         if (turn.state == State.WAITING) { // guards what waits against a stop that comes before its turn
             offWheel(turn);
-            turn.until = Math.min(turn.until, turn.arrived + (rpc.due - turn.arrived) / 2 - spokeWidth);
+            turn.until = Math.min(turn.until, turn.arrived + (rpc.deadline - turn.arrived) / 2 - spokeWidth);
             onWheel(turn);
         } else if (turn.seen) {
-            inner.dueSooner(rpc);
+            next.deadlineShortened(rpc);
         }
     }
 
     @Override public void pushBack(Rpc rpc, long after) {
         why = Reason.MEMBERS;
-        Turn turn = (Turn) rpc.turn;
+        Turn turn = (Turn) rpc.filterState;
         tallies.get(turn.tenant).pushedBack[Reason.MEMBERS.ordinal()]++;
         step(turn, Input.AWAY);
-        outer.pushBack(rpc, turn.ways == null ? after : members(turn, after));
+        actions.pushBack(rpc, turn.ways == null ? after : members(turn, after));
     }
 
     @Override public void abort(Rpc rpc) {
-        step((Turn) rpc.turn, Input.GONE);
-        outer.abort(rpc);
+        step((Turn) rpc.filterState, Input.GONE);
+        actions.abort(rpc);
     }
 
-    @Override public void end() {
+    @Override public void endBatch() {
         do {
             freed = false;
             for (int i = 0; i < all.size() && flows.waiting() > 0; i++) {
@@ -320,16 +320,16 @@
                     step(next, Input.NEXT);
                 }
             }
-            inner.end();
+            next.endBatch();
         } while (freed && flows.waiting() > 0);
         long at = flows.waiting() > 0 ? Math.min(now + spokeWidth, routerAt) : routerAt;
         if (at < alarmAt) {
             alarmAt = at;
-            outer.wakeIn(Math.max(tick, at - now));
+            actions.scheduleWakeUp(Math.max(tick, at - now));
         }
     }
 
-    @Override public void wakeIn(long delay) {
+    @Override public void scheduleWakeUp(long delay) {
         routerAt = Math.min(routerAt, now + delay);
     }
 
@@ -376,10 +376,10 @@
     private void prepare(Turn turn) {
         Method m = turn.rpc.method;
         turn.key = key(hasher, turn.rpc);
-        turn.cost = Math.max(1, cost(m).below(0.25, brisk / 16));
+        turn.cost = Math.max(1, cost(m).quantile(0.25, brisk / 16));
         turn.worth = m.utility() / turn.cost;
-        long half = (turn.rpc.due - turn.arrived) / 2 - spokeWidth;
-        long soft = m.lateShare() > 0 ? half : m.softDeadline() - usual(turn.ways);
+        long half = (turn.rpc.deadline - turn.arrived) / 2 - spokeWidth;
+        long soft = m.lateUtilityShare() > 0 ? half : m.softDeadline() - usual(turn.ways);
         turn.until = turn.arrived + Math.min(soft, half);
         heaviest.add(known(turn.rpc), turn.rpc, turn.cost);
     }
@@ -436,7 +436,7 @@
     private void pass(Turn turn) {
         turn.inside = now;
         turn.seen = true;
-        inner.arrived(turn.rpc);
+        next.rpcArrived(turn.rpc);
     }
 
     private void letIn(Turn turn) {
@@ -452,7 +452,7 @@
         turn.ways.held();
         turn.ways.busyAt = now;
         heaviest.pushedBack(known(turn.rpc));
-        outer.pushBack(turn.rpc, comeBack(turn));
+        actions.pushBack(turn.rpc, comeBack(turn));
     }
 
     /** It can no longer be answered in time. */
@@ -499,7 +499,7 @@
         if (!w.room.pressed() && !turn.held) {
             return; // without pressure there is nothing to learn
         }
-        w.served(cost(m).below(0.25, brisk / 16));
+        w.served(cost(m).quantile(0.25, brisk / 16));
         long hold = w.hold.mean(0);
         if (hold > brisk / 32) {
             w.room.tell(Room.Input.SLOW, now, usual(w));
@@ -555,7 +555,7 @@
     }
 
     private long key(Hasher64 by, Rpc rpc) {
-        String who = rpc.caller != null ? rpc.caller : rpc.tenant;
+        String who = rpc.clientId != null ? rpc.clientId : rpc.tenant;
         return who == null ? 0 : by.hashCharsToLong(who);
     }
 
@@ -631,7 +631,7 @@
 
     // ---- What is shown ----
 
-    @Override public void counts(Map<String, Long> counts) {
+    @Override public void addCounters(Map<String, Long> counts) {
         for (Tally t : tallies) {
             counts.merge("fair.waited", t.waited, Long::sum);
             counts.merge("fair.early", t.early, Long::sum);
@@ -643,11 +643,11 @@
         for (Ways w : all) {
             counts.merge("fair.pressed", w.room.begun(), Long::sum);
         }
-        super.counts(counts);
+        super.addCounters(counts);
     }
 
     /** clients: the heaviest under pressure; tenants: what became of their RPCs; ways: room and rate. */
-    @Override public List<String[]> show(String what) {
+    @Override public List<String[]> statisticsTable(String what) {
         List<String[]> rows = new ArrayList<>();
         switch (what) {
             case "clients" -> {
@@ -674,7 +674,7 @@
                 }
             }
             default -> {
-                return super.show(what);
+                return super.statisticsTable(what);
             }
         }
         return rows;
--- a/src/main/java/reedquay/members/Ledger.java
+++ b/src/main/java/reedquay/members/Ledger.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.BiPredicate;
-import reedquay.core.Listed.ListKind;
-import reedquay.core.Listed.Phase;
+import reedquay.core.ListedMember.ListKind;
+import reedquay.core.ListedMember.Phase;
 
 /**
  * What the sources of the member list have told, which of it is in force, and which sources are read. It has no
@@ -147,7 +147,7 @@
     public void remembered(Told list) {
         generation = Math.max(generation, list.generation);
         list.entries.forEach(e -> known.put(e.id, new Known(e, generation)));
-        effects.inForce(ListKind.REMEMBERED, list.entries);
+        effects.inForce(ListKind.CACHED, list.entries);
     }
 
     /** The list comes from this address from now on; what still lives of others is read to its end. */
--- a/src/main/java/reedquay/net/ClientSession.java
+++ b/src/main/java/reedquay/net/ClientSession.java
@@ -296,7 +296,7 @@
         state = State.IN_HAND;
         rpc = door.acceptRpc(this, statement, gateway.clientIdentifier());
         Rpc taken = rpc;
-        door.submitInput(d -> d.arrived(taken));
+        door.submitInput(d -> d.rpcArrived(taken));
     }
 
     /** A name for this connection that no other has while it lives. */
--- a/src/main/java/reedquay/net/Discovery.java
+++ b/src/main/java/reedquay/net/Discovery.java
@@ -25,8 +25,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import reedquay.core.Listed;
-import reedquay.core.Listed.ListKind;
+import reedquay.core.ListedMember;
+import reedquay.core.ListedMember.ListKind;
 import reedquay.members.Ledger;
 import reedquay.members.Ledger.Entry;
 import reedquay.members.Ledger.Source;
@@ -109,14 +109,14 @@
     }
 
     @Override public void inForce(ListKind kind, List<Entry> entries) {
-        List<Listed> listed = new ArrayList<>();
+        List<ListedMember> listed = new ArrayList<>();
         for (Entry entry : entries) {
             Rest rest = (Rest) entry.rest();
             Pool pool = door.pool(entry.id());
             if (rest.where != null) {
                 pool.updateLocation(rest.where, entry.startedAt());
             }
-            listed.add(new Listed(pool.member, rest.zone, rest.kind, rest.group, entry.phase(), rest.primary, rest.size,
+            listed.add(new ListedMember(pool.member, rest.zone, rest.kind, rest.group, entry.phase(), rest.primary, rest.size,
                     entry.startedAt()));
         }
         door.membersListed(kind, listed);
@@ -168,10 +168,10 @@
 
     private Entry entry(JsonObject e) {
         String id = e.get("instanceId").getAsString();
-        Listed.Phase phase = switch (text(e, "lifecycle")) {
-            case "ready" -> Listed.Phase.UP;
-            case "draining" -> Listed.Phase.DRAINING;
-            case "gone" -> Listed.Phase.GONE;
+        ListedMember.Phase phase = switch (text(e, "lifecycle")) {
+            case "ready" -> ListedMember.Phase.UP;
+            case "draining" -> ListedMember.Phase.DRAINING;
+            case "gone" -> ListedMember.Phase.GONE;
             default -> null;
         };
         if (phase == null) {
--- a/src/main/java/reedquay/net/Dispatcher.java
+++ b/src/main/java/reedquay/net/Dispatcher.java
@@ -17,14 +17,14 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import reedquay.core.CallOut;
-import reedquay.core.Decider;
-import reedquay.core.Effects;
-import reedquay.core.Listed;
+import reedquay.core.RoutingEngine;
+import reedquay.core.RoutingActions;
+import reedquay.core.ListedMember;
 import reedquay.core.Member;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.Report;
-import reedquay.core.Reports;
+import reedquay.core.LoadReport;
+import reedquay.core.LoadReportParser;
 import reedquay.core.Role;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
@@ -33,24 +33,24 @@
 import reedquay.pg.Messages;
 
 /** Turns what happens on sockets into the decisions' inputs, and their effects into writes; decides nothing. */
-final class Dispatcher implements Effects {
+final class Dispatcher implements RoutingActions {
     private static final System.Logger LOG = System.getLogger("reedquay");
     private static final int KEPT_COMPLAINTS = 64;
 
     final MonotonicClock clock;
     final Limits limits;
     final Counters counters;
-    final Reports reports;
+    final LoadReportParser reports;
     private final Trace trace = new Trace();
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final Settings settings;
-    private final Decider decider;
+    private final RoutingEngine decider;
     private final Map<String, Method> methods = new HashMap<>();
     private final Map<String, Pool> pools = new LinkedHashMap<>();
     private final Set<String> complained = new HashSet<>();
     private final Map<Long, Rpc> open = new LinkedHashMap<>(); // the RPCs in hand by their ids
-    private final ArrayDeque<Consumer<Decider>> inputs = new ArrayDeque<>();
+    private final ArrayDeque<Consumer<RoutingEngine>> inputs = new ArrayDeque<>();
     private final ArrayDeque<Runnable> runAfterBatch = new ArrayDeque<>();
     private final ArrayDeque<MemberConnection> settling = new ArrayDeque<>(); // those that have answered, in order
     private boolean inBatch;
@@ -61,14 +61,14 @@
     private int outstandingProbes;
 
     Dispatcher(EventLoop loop, Bootstrap bootstrap, MonotonicClock clock, Limits limits, Counters counters,
-            SettingsReader reader, long seed, BiFunction<Settings, Effects, Decider> maker) {
+            SettingsReader reader, long seed, BiFunction<Settings, RoutingActions, RoutingEngine> maker) {
         this.loop = loop;
         this.bootstrap = bootstrap;
         this.clock = clock;
         this.limits = limits;
         this.counters = counters;
-        settings = reader.settings(seed);
-        reports = reader.reports(0); // Unix time, whatever zero the settings name
+        settings = reader.readSettings(seed);
+        reports = reader.loadReportParser(0); // Unix time, whatever zero the settings name
         settings.methods().forEach(m -> methods.put(m.name(), m));
         decider = maker.apply(settings, this);
         counters.gauge("rpc.inhand", () -> inFlight);
@@ -81,18 +81,18 @@
     Map<String, Long> allCounters() {
         Map<String, Long> all = counters.snapshot();
         if (decider instanceof Stage stage) {
-            stage.counts(all);
+            stage.addCounters(all);
         }
         return all;
     }
 
     /** A table that a stage before the decisions has; null for none. */
     List<String[]> showTable(String what) {
-        return decider instanceof Stage stage ? stage.show(what) : null;
+        return decider instanceof Stage stage ? stage.statisticsTable(what) : null;
     }
 
     /** One input is one batch; what an effect brings about at once is the next batch's. */
-    void submitInput(Consumer<Decider> next) {
+    void submitInput(Consumer<RoutingEngine> next) {
         inputs.addLast(next);
         if (inBatch) {
             return;
@@ -123,11 +123,11 @@
         }
     }
 
-    private void runBatch(Consumer<Decider> input) {
+    private void runBatch(Consumer<RoutingEngine> input) {
         try {
-            decider.begin(clock.now());
+            decider.beginBatch(clock.now());
             input.accept(decider);
-            decider.end();
+            decider.endBatch();
         } catch (RuntimeException e) { // one RPC's fault must not take the others with it
             counters.add("broken.decision");
             logOnce("a decision failed: " + e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : ""));
@@ -152,9 +152,9 @@
     void answerAllBy(long time) {
         answerAllBy = time;
         for (Rpc rpc : List.copyOf(open.values())) {
-            if (rpc.due > time) { // its client would wait for longer than this gateway lives
-                rpc.due = time;
-                submitInput(d -> d.dueSooner(rpc));
+            if (rpc.deadline > time) { // its client would wait for longer than this gateway lives
+                rpc.deadline = time;
+                submitInput(d -> d.deadlineShortened(rpc));
             }
         }
     }
@@ -168,8 +168,8 @@
         Rpc rpc = new Rpc(statement.id, statement.group, statement.session,
                 Math.min(now + Math.min(statement.waitMillis * 1_000_000, method.deadline()), answerAllBy),
                 statement.retry, tokenAge, statement.tenant, method);
-        rpc.front = session;
-        rpc.caller = callers == null ? null : callers.identify(session, statement);
+        rpc.frontState = session;
+        rpc.clientId = callers == null ? null : callers.identify(session, statement);
         inFlight++;
         open.put(rpc.id, rpc);
         counters.add("rpc.taken");
@@ -188,15 +188,15 @@
         }
     }
 
-    void membersListed(Listed.ListKind kind, List<Listed> entries) {
+    void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) {
         trace.membersListed(entries);
-        submitInput(d -> d.list(kind, entries));
+        submitInput(d -> d.membersListed(kind, entries));
     }
 
     Pool pool(String id) {
         return pools.computeIfAbsent(id, i -> {
             Pool pool = new Pool(this, new Member(i), bootstrap);
-            pool.member.front = pool;
+            pool.member.frontState = pool;
             return pool;
         });
     }
@@ -208,12 +208,12 @@
             case "53300" -> Outcome.FULL;
             default -> Outcome.ERROR;
         };
-        Report report = MemberConnection.parseLoadReport(this, answer, send.callOut == null);
+        LoadReport report = MemberConnection.parseLoadReport(this, answer, send.callOut == null);
         boolean commit = outcome == Outcome.OK && send.callOut != null
-                && send.callOut.rpc.method.need() == Method.Need.WRITE;
-        long position = answer.hasPosition ? reports.position(answer.positionMillis, commit) : Report.NO_POSITION;
-        if (send.callOut == null && report == Report.NONE) {
-            report = new Report(position, answer.role, -1, -1, -1);
+                && send.callOut.rpc.method.consistency() == Method.Consistency.WRITE;
+        long position = answer.hasPosition ? reports.position(answer.positionMillis, commit) : LoadReport.NO_POSITION;
+        if (send.callOut == null && report == LoadReport.NONE) {
+            report = new LoadReport(position, answer.role, -1, -1, -1);
         }
         completeRequest(send, outcome, answer, position, answer.role, report);
         answer.release();
@@ -221,11 +221,11 @@
 
     /** A send ended without an answer. */
     void requestFailed(MemberRequest send, Outcome outcome) {
-        completeRequest(send, outcome, null, Report.NO_POSITION, Role.UNKNOWN, Report.NONE);
+        completeRequest(send, outcome, null, LoadReport.NO_POSITION, Role.UNKNOWN, LoadReport.NONE);
     }
 
     private void completeRequest(MemberRequest send, Outcome outcome, MemberConnection.Response answer, long position, Role role,
-            Report report) {
+            LoadReport report) {
         counters.check(!send.completed, "one outcome for each send");
         if (send.completed) {
             return;
@@ -236,21 +236,21 @@
             counters.add("probe." + outcome);
             outstandingProbes--;
             long took = clock.now() - send.startedAt;
-            submitInput(d -> d.probed(send.pool.member, outcome, took, report));
+            submitInput(d -> d.probeEnded(send.pool.member, outcome, took, report));
             return;
         }
         counters.add("callout." + outcome);
         trace.callOutEnded(callOut, outcome, clock.now() - callOut.sentAt);
         callOut.ended = true;
-        callOut.waiting = false;
+        callOut.awaitingConnection = false;
         Rpc rpc = callOut.rpc;
         if (outcome == Outcome.OK && !rpc.ended) {
             recordFinalAnswer(rpc, "rpc.ok", false);
-            ((ClientSession) rpc.front).sendResult(answer.frames);
+            ((ClientSession) rpc.frontState).sendResult(answer.frames);
         }
         long took = clock.now() - callOut.sentAt;
         boolean ended = rpc.ended;
-        submitInput(d -> d.done(callOut, outcome, took, ended, position, role, report));
+        submitInput(d -> d.callOutEnded(callOut, outcome, took, ended, position, role, report));
     }
 
     private void recordFinalAnswer(Rpc rpc, String how, boolean decided) {
@@ -259,30 +259,30 @@
         inFlight--;
         open.remove(rpc.id);
         counters.add(how);
-        trace.rpcEnded(rpc, how, decided && trace.enabled ? decider.why(rpc) : "");
+        trace.rpcEnded(rpc, how, decided && trace.enabled ? decider.explain(rpc) : "");
     }
 
     // ---- Effects ----
 
-    @Override public void callOut(CallOut callOut, long limit) {
-        Pool pool = (Pool) callOut.member.front;
-        long until = limit > 0 ? Math.min(callOut.rpc.due, callOut.sentAt + limit) : callOut.rpc.due;
+    @Override public void sendCallOut(CallOut callOut, long limit) {
+        Pool pool = (Pool) callOut.member.frontState;
+        long until = limit > 0 ? Math.min(callOut.rpc.deadline, callOut.sentAt + limit) : callOut.rpc.deadline;
         MemberRequest send = new MemberRequest(callOut, pool, callOut.sentAt, until);
-        callOut.front = send;
+        callOut.frontState = send;
         counters.add("callout");
-        callOut.waiting = true;
+        callOut.awaitingConnection = true;
         pool.submit(send);
     }
 
-    @Override public void go(CallOut callOut) {
-        MemberRequest send = (MemberRequest) callOut.front;
+    @Override public void proceed(CallOut callOut) {
+        MemberRequest send = (MemberRequest) callOut.frontState;
         if (!send.completed) {
             send.connection.send(send);
         }
     }
 
     @Override public void cancel(CallOut callOut) {
-        MemberRequest send = (MemberRequest) callOut.front;
+        MemberRequest send = (MemberRequest) callOut.frontState;
         if (send.completed) {
             return;
         }
@@ -301,32 +301,32 @@
         recordFinalAnswer(rpc, "rpc.pushedback", true);
         // rounded up: a client that came earlier would find nothing new
         String millis = after > 0 ? Long.toString((after + 999_999) / 1_000_000) : null;
-        ((ClientSession) rpc.front).sendError("53300", "no room for this statement now; trying again is harmless", millis);
+        ((ClientSession) rpc.frontState).sendError("53300", "no room for this statement now; trying again is harmless", millis);
     }
 
     @Override public void abort(Rpc rpc) {
         recordFinalAnswer(rpc, "rpc.aborted", true);
-        ((ClientSession) rpc.front).sendError("58000", "the statement failed and may have run", null);
+        ((ClientSession) rpc.frontState).sendError("58000", "the statement failed and may have run", null);
     }
 
     @Override public void probe(Member member) {
         outstandingProbes++;
         counters.add("probe");
         long now = clock.now();
-        ((Pool) member.front).submit(new MemberRequest(null, (Pool) member.front, now,
-                now + settings.allowed().connectTimeout()));
+        ((Pool) member.frontState).submit(new MemberRequest(null, (Pool) member.frontState, now,
+                now + settings.capabilities().connectTimeout()));
     }
 
-    @Override public void closeIdle(Member member) {
-        ((Pool) member.front).closeAllIdle("aside");
+    @Override public void closeIdleConnections(Member member) {
+        ((Pool) member.frontState).closeAllIdle("aside");
     }
 
-    @Override public void forget(Member member) {
+    @Override public void forgetMember(Member member) {
         pools.remove(member.id);
-        ((Pool) member.front).closeAll();
+        ((Pool) member.frontState).closeAll();
     }
 
-    @Override public void wakeIn(long delay) {
+    @Override public void scheduleWakeUp(long delay) {
         if (alarm != null) {
             alarm.cancel(false);
         }
@@ -338,7 +338,7 @@
         }, delay, TimeUnit.NANOSECONDS);
     }
 
-    @Override public void subscribe() { } // the watch on discovery is always on
+    @Override public void requestMemberList() { } // the watch on discovery is always on
 
     @Override public void log(String line) {
         LOG.log(System.Logger.Level.INFO, line);
@@ -373,7 +373,7 @@
 
     /** Guards against reading stale data: a position well ahead of the clock would stand for a fresh one. */
     boolean isPlausiblePosition(long millis) {
-        boolean is = millis >= 0 && millis - clock.now() / 1_000_000 <= settings.allowed().connectTimeout() / 1_000_000;
+        boolean is = millis >= 0 && millis - clock.now() / 1_000_000 <= settings.capabilities().connectTimeout() / 1_000_000;
         counters.add("member.position.unreadable", is ? 0 : 1);
         return is;
     }
@@ -382,11 +382,11 @@
         trace.callOutSent(send.callOut);
         Rpc rpc = send.callOut.rpc;
         long left = Math.max(1, (send.deadline - clock.now()) / 1_000_000);
-        return ((ClientSession) rpc.front).statement().queryForMember(allocator, left);
+        return ((ClientSession) rpc.frontState).statement().queryForMember(allocator, left);
     }
 
     ByteBuf buildProbeQuery(ByteBufAllocator allocator) {
-        boolean tells = settings.positions().inProbes();
+        boolean tells = settings.positionSources().inProbes();
         return Messages.query(allocator.buffer(32), tells ? "SHOW server_load" : "SELECT 1");
     }
 
@@ -397,7 +397,7 @@
 
     void sweep(long idleFor) {
         long now = clock.now();
-        new ArrayList<>(pools.values()).forEach(p -> p.sweep(now, settings.allowed().connectTimeout(), idleFor));
+        new ArrayList<>(pools.values()).forEach(p -> p.sweep(now, settings.capabilities().connectTimeout(), idleFor));
     }
 
     int inFlight() {
--- a/src/main/java/reedquay/net/Gateway.java
+++ b/src/main/java/reedquay/net/Gateway.java
@@ -74,9 +74,9 @@
                 parts.deciderFactory());
         discovery = new Discovery(door, bootstrap, loop);
         listFrom = configuration.discovery();
-        long keepalive = configuration.settings().keepalive();
+        long keepalive = configuration.settings().keepaliveTimeout();
         idleFor = keepalive > 0 ? keepalive / 2 : Long.MAX_VALUE / 2;
-        sweepEvery = Math.max(1_000_000, door.settings().allowed().connectTimeout() / 8);
+        sweepEvery = Math.max(1_000_000, door.settings().capabilities().connectTimeout() / 8);
         counters.gauge("client.open", limits::openClients);
         counters.gauge("member.open", limits::openMemberConnections);
         counters.gauge("client.heldbytes", limits::heldBytes);
@@ -128,7 +128,7 @@
         lastSweepAt = now;
         int mayResume = limits.isMemoryFull() ? 0 : limits.remainingMessages(); // guards against all of them at once
         for (ClientSession session : new ArrayList<>(sessions)) {
-            session.sweep(now, door.settings().allowed().connectTimeout());
+            session.sweep(now, door.settings().capabilities().connectTimeout());
             if (mayResume > 0 && session.isPausedForMemory()) {
                 mayResume--;
                 session.resume();
@@ -148,7 +148,7 @@
 
     /** How long a start may take before clients are let in whatever is missing. */
     static long startupTimeout(Settings settings) {
-        return 8 * settings.allowed().connectTimeout();
+        return 8 * settings.capabilities().connectTimeout();
     }
 
     /** Runs it at once, or when this gateway has heard enough to decide. */
@@ -264,7 +264,7 @@
      */
     private ClientSession sessionToClose() {
         ClientSession oldest = first(unused);
-        boolean silent = oldest != null && clock.now() - oldest.connectedAt() >= door.settings().allowed().connectTimeout();
+        boolean silent = oldest != null && clock.now() - oldest.connectedAt() >= door.settings().capabilities().connectTimeout();
         return silent ? oldest : first(free);
     }
 
--- a/src/main/java/reedquay/net/MemberConnection.java
+++ b/src/main/java/reedquay/net/MemberConnection.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import reedquay.core.Outcome;
-import reedquay.core.Report;
+import reedquay.core.LoadReport;
 import reedquay.core.Role;
 import reedquay.pg.Frame;
 import reedquay.pg.FrameDecoder;
@@ -78,7 +78,7 @@
         written = false;
         answer = new Response();
         if (next.callOut != null) {
-            next.callOut.waiting = false;
+            next.callOut.awaitingConnection = false;
         }
         ByteBuf query = next.callOut == null ? door.buildProbeQuery(channel.alloc())
                 : door.buildQuery(next, channel.alloc());
@@ -265,17 +265,17 @@
     }
 
     /** The load report that a probe or an answer brought. */
-    static Report parseLoadReport(Dispatcher door, Response answer, boolean fromRow) {
+    static LoadReport parseLoadReport(Dispatcher door, Response answer, boolean fromRow) {
         String text = answer.loadReport;
         if (fromRow && answer.frames.size() == 3) {
             Frame row = answer.frames.get(1);
             text = row.type == 'D' && row.bodyLength() > 6 ? row.stringAt(6) : text;
         }
         try {
-            return text == null ? Report.NONE : door.reports.named(text);
+            return text == null ? LoadReport.NONE : door.reports.parsePairs(text);
         } catch (NumberFormatException | ArithmeticException e) {
             door.counters.add("member.report.unreadable");
-            return Report.NONE;
+            return LoadReport.NONE;
         }
     }
 }
--- a/src/main/java/reedquay/net/Pool.java
+++ b/src/main/java/reedquay/net/Pool.java
@@ -96,7 +96,7 @@
             connection.state = MemberConnection.State.RESERVED;
             connection.request = next;
             next.connection = connection;
-            door.submitInput(d -> d.ready(next.callOut));
+            door.submitInput(d -> d.connectionReady(next.callOut));
         }
     }
 
--- a/src/main/java/reedquay/net/Statement.java
+++ b/src/main/java/reedquay/net/Statement.java
@@ -165,10 +165,10 @@
         }
         int length = Math.min(6, all.writerIndex() - from);
         String verb = all.toString(from, length, StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
-        if (called.need() == Method.Need.WRITE ? !WRITES.contains(verb) : !verb.equals("SELECT")) {
+        if (called.consistency() == Method.Consistency.WRITE ? !WRITES.contains(verb) : !verb.equals("SELECT")) {
             throw new InvalidStatementException("the statement is not of its class");
         }
-        if (called.effect() == Method.Effect.TOKENED && token == null) {
+        if (called.retrySafety() == Method.RetrySafety.TOKENED && token == null) {
             throw new InvalidStatementException("expected k in the leading comment");
         }
     }
--- a/src/main/java/reedquay/net/Trace.java
+++ b/src/main/java/reedquay/net/Trace.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import reedquay.core.CallOut;
-import reedquay.core.Listed;
+import reedquay.core.ListedMember;
 import reedquay.core.Outcome;
 import reedquay.core.Rpc;
 
@@ -26,7 +26,7 @@
     void rpcAccepted(Rpc rpc, long now) {
         if (enabled) {
             line(id(rpc) + " taken: " + rpc.method.name() + ", group " + rpc.group + (rpc.retry ? ", a retry" : "")
-                    + ", due in " + (rpc.due - now) / 1_000_000 + " ms");
+                    + ", due in " + (rpc.deadline - now) / 1_000_000 + " ms");
         }
     }
 
@@ -50,9 +50,9 @@
     }
 
     /** Guards the reader of a log against guessing when this gateway was told: only what is not up is of interest. */
-    void membersListed(List<Listed> entries) {
+    void membersListed(List<ListedMember> entries) {
         if (enabled) {
-            entries.stream().filter(e -> e.phase() != Listed.Phase.UP)
+            entries.stream().filter(e -> e.phase() != ListedMember.Phase.UP)
                     .forEach(e -> line("listed " + e.member().id + " " + e.phase()));
         }
     }
--- a/src/main/java/reedquay/net/WarmUp.java
+++ b/src/main/java/reedquay/net/WarmUp.java
@@ -65,7 +65,7 @@
             Configuration configuration = Configuration.parse(all.toString());
             Gateway gateway = new Gateway(configuration);
             try {
-                sendRpcs(gateway.start().join(), configuration.settings().settings(0));
+                sendRpcs(gateway.start().join(), configuration.settings().readSettings(0));
                 return gateway.counters().join();
             } finally {
                 gateway.halt();
@@ -93,7 +93,7 @@
                     for (Method method : settings.methods()) {
                         Messages.query(out, "/* id=" + Integer.toHexString(++id) + ",c=" + method.name()
                                 + ",t=rehearsal,d=" + method.deadline() / 1_000_000 + ",k=" + id + ",cluster=1 */ "
-                                + (method.need() == Method.Need.WRITE ? "INSERT" : "SELECT") + " 'key'");
+                                + (method.consistency() == Method.Consistency.WRITE ? "INSERT" : "SELECT") + " 'key'");
                     }
                     client.getOutputStream().write(bytes(out));
                 }
--- a/src/main/java/reedquay/ops/Fronts.java
+++ b/src/main/java/reedquay/ops/Fronts.java
@@ -18,7 +18,7 @@
         }
         return (settings, effects) -> {
             Turns turns = new Turns(settings, operators.fair().terms(), effects);
-            return turns.before(new Router(settings, turns));
+            return turns.setNext(new Router(settings, turns));
         };
     }
 }
--- a/src/main/java/reedquay/ops/Operated.java
+++ b/src/main/java/reedquay/ops/Operated.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicReference;
-import reedquay.core.Decider;
-import reedquay.core.Effects;
+import reedquay.core.RoutingEngine;
+import reedquay.core.RoutingActions;
 import reedquay.core.Settings;
 import reedquay.fair.Turns;
 import reedquay.net.ClientIdentifier;
@@ -30,12 +30,12 @@
     }
 
     /** The Router, behind the stages that are on. */
-    private Decider decider(Settings settings, Effects effects) {
+    private RoutingEngine decider(Settings settings, RoutingActions effects) {
         if (!operators.fair().enabled()) {
             return new Router(settings, effects);
         }
         Turns made = new Turns(settings, operators.fair().terms(), effects);
-        made.before(new Router(settings, made));
+        made.setNext(new Router(settings, made));
         turns.set(made);
         LOG.log(System.Logger.Level.INFO, "fair queues at the door: " + operators.fair().terms().waiting()
                 + " RPCs may wait, " + made.bytes() + " bytes");
--- a/src/main/java/reedquay/route/Router.java
+++ b/src/main/java/reedquay/route/Router.java
@@ -7,15 +7,15 @@
 import java.util.function.BiPredicate;
 import java.util.zip.CRC32;
 import reedquay.core.*;
-import reedquay.core.Method.Effect;
-import reedquay.core.Method.Need;
+import reedquay.core.Method.RetrySafety;
+import reedquay.core.Method.Consistency;
 
 /**
  * All decisions of one gateway. A front makes one Router an instance, calls begin, inputs, then end for each
  * batch, and carries out the Effects called meanwhile. In this order: the table of an RPC's life, the state,
  * the inputs, the table's conditions and effects, the draw with the estimate, the guards, health.
  */
-public final class Router implements Decider {
+public final class Router implements RoutingEngine {
     enum State { NEW, HELD, OUT, ENDED }
 
     enum Input { ARRIVE, WAKE, EXPIRE, READY, SLOW, OK, FAILED, DUE, LEFT }
@@ -28,7 +28,7 @@
     private static final BiPredicate<Router, Job> NEXT_MAY_GO = (r, j) -> r.mayGoOn(j) && r.findTarget(j);
     private static final BiPredicate<Router, Job> STILL_OUT = (r, j) -> j.out > 0;
     private static final BiConsumer<Router, Job> NOTHING = (r, j) -> { };
-    private static final BiConsumer<Router, Job> GO = (r, j) -> r.effects.go(j.ready);
+    private static final BiConsumer<Router, Job> GO = (r, j) -> r.effects.proceed(j.ready);
     private static final BiConsumer<Router, Job> DROP = (r, j) -> r.effects.cancel(j.ready);
 
     /** The life of an RPC: the first row whose state, input and condition hold is taken. */
@@ -84,8 +84,8 @@
             this.rpc = rpc;
             this.group = group;
             this.arrived = arrived;
-            Need need = rpc.method == null ? Need.WRITE : rpc.method.need();
-            this.read = need != Need.WRITE && need != Need.FRESH;
+            Consistency need = rpc.method == null ? Consistency.WRITE : rpc.method.consistency();
+            this.read = need != Consistency.WRITE && need != Consistency.FRESH;
         }
 
         boolean at(Node node) { return rpc.callOuts.stream().anyMatch(c -> c.member == node.member); }
@@ -110,7 +110,7 @@
         final ArrayDeque<Long> sends = new ArrayDeque<>(); // within the last cold window
         boolean open, listedPrimary; // open: listed and not draining; nor gone, where that binds
         Role role = Role.UNKNOWN;
-        long position = Report.NO_POSITION, roleAt = LONG_AGO, startedAt = LONG_AGO, probedAt = LONG_AGO;
+        long position = LoadReport.NO_POSITION, roleAt = LONG_AGO, startedAt = LONG_AGO, probedAt = LONG_AGO;
         long heardAt = LONG_AGO; // when a position was last told
         double busy, load; // smoothed, as reported: its cores' work, calls in flight there from all gateways
         int inFlight, allowance, strikes; // of a cold member, by window; times turned away in a row
@@ -124,7 +124,7 @@
 
         Node(Member member, long unit) {
             this.member = member;
-            member.state = this;
+            member.routingState = this;
             this.latency = new Latency(unit);
             this.strain = new Latency(unit);
             this.recent = new Latency(unit, RECENT);
@@ -151,8 +151,8 @@
     private static final int RECENT = 4; // answers after which earlier ones count half: others strain it too
     private static final int SCAN = 32; // held RPCs looked at for one group in one batch
 
-    private final Effects effects;
-    private final Settings.Allowed allowed;
+    private final RoutingActions effects;
+    private final Settings.Capabilities allowed;
     private final long seed, tick, floor, pad, probeAge, coldFor, coldWindow, comeBack;
     private final long brisk; // the shortest soft deadline
     private final boolean probesTell, membersCheck, remembered;
@@ -168,18 +168,18 @@
             new PriorityQueue<>(Comparator.comparingLong(Wake::at).thenComparingLong(Wake::order));
     private final Map<String, Share> shares = new HashMap<>(); // never walked through
     private final Share unlimited = new Share();
-    private final Map<Method, Tally> parts = new IdentityHashMap<>(); // first tries, and RPCs served in time
+    private final Map<Method, SuccessRate> parts = new IdentityHashMap<>(); // first tries, and RPCs served in time
     private final Latency all;
     private long counter, order, now, windowStart, alarmAt = NEVER;
     private int oks, leads, seen; // answers in this cold window, those of primaries; windows smoothed over
     private double usual, typical, usualLead, typicalLead; // one's answers a window, smoothed, and their most
 
-    public Router(Settings settings, Effects effects) {
+    public Router(Settings settings, RoutingActions effects) {
         this.effects = effects;
-        allowed = settings.allowed();
+        allowed = settings.capabilities();
         seed = settings.seed();
         tick = settings.tick();
-        gateways = settings.gateways();
+        gateways = settings.gatewayCount();
         long second = 1_000_000_000;
         for (Settings.Tenant t : settings.tenants()) {
             Share share = shares.computeIfAbsent(t.name(), n -> new Share());
@@ -188,31 +188,31 @@
         }
         brisk = settings.methods().stream().mapToLong(Method::softDeadline).filter(d -> d > 0).min()
                 .orElse(second);
-        long tightest = settings.methods().stream().filter(m -> m.need() == Need.BOUNDED)
+        long tightest = settings.methods().stream().filter(m -> m.consistency() == Consistency.BOUNDED)
                 .mapToLong(Method::maxAge).min().orElse(2 * second);
         probeAge = tightest / 2;
-        dearest = settings.methods().stream().mapToDouble(m -> m.need() == Need.BOUNDED
-                || m.need() == Need.SESSION ? m.utility() : 0).reduce(Double.MIN_NORMAL, Math::max);
+        dearest = settings.methods().stream().mapToDouble(m -> m.consistency() == Consistency.BOUNDED
+                || m.consistency() == Consistency.SESSION ? m.utility() : 0).reduce(Double.MIN_NORMAL, Math::max);
         floor = 2 * tick;
         pad = 2 * tick;
-        probesTell = allowed.probes() && settings.positions().inProbes();
-        membersCheck = settings.positions().membersCheck();
-        goneOpen = settings.rules().onlyDrainingBinds();
-        remembered = settings.positions().rememberedTokens();
-        coldFor = settings.rules().coldFor();
+        probesTell = allowed.probes() && settings.positionSources().inProbes();
+        membersCheck = settings.positionSources().membersRejectStaleReads();
+        goneOpen = settings.rules().goneMembersStayUsable();
+        remembered = settings.positionSources().gatewayRemembersTokens();
+        coldFor = settings.rules().coldDuration();
         coldWindow = Math.max(settings.rules().coldWindow(), tick);
         coldShare = settings.rules().coldShare();
-        coldMultiple = settings.rules().coldMultiple();
-        comeBack = allowed.retryAfter() ? Math.min(brisk / 4, allowed.longestRetryAfter()) : 0;
+        coldMultiple = settings.rules().coldCapacityMultiple();
+        comeBack = allowed.retryAfter() ? Math.min(brisk / 4, allowed.maxRetryAfter()) : 0;
         all = new Latency(brisk / 16);
-        if (allowed.listOnRequest()) {
-            effects.subscribe();
+        if (allowed.memberListOnRequest()) {
+            effects.requestMemberList();
         }
     }
 
     // ---- Inputs ----
 
-    @Override public void begin(long time) {
+    @Override public void beginBatch(long time) {
         now = time;
         if (now - windowStart >= coldWindow) {
             double windows = (now - windowStart) / coldWindow;
@@ -226,13 +226,13 @@
         }
     }
 
-    @Override public void end() {
+    @Override public void endBatch() {
         while (!wakes.isEmpty() && wakes.peek().at <= now) {
             Wake wake = wakes.poll();
             if (wake.job != null) {
                 step(wake.job, wake.input);
             } else if (wake.node == null) {
-                effects.subscribe();
+                effects.requestMemberList();
             } else {
                 wake.node.group.news = true;
                 tryAgain(wake.node);
@@ -242,21 +242,21 @@
         // guards against an alarm that rings early by a coarser clock: one due within a tick is set again
         if (!wakes.isEmpty() && (wakes.peek().at < alarmAt || alarmAt <= now + tick)) {
             alarmAt = Math.max(wakes.peek().at, now + tick);
-            effects.wakeIn(alarmAt - now);
+            effects.scheduleWakeUp(alarmAt - now);
         }
     }
 
-    @Override public void list(Listed.ListKind kind, List<Listed> entries) {
-        if (kind == Listed.ListKind.REFUSED) {
+    @Override public void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) {
+        if (kind == ListedMember.ListKind.REFUSED) {
             later(now + brisk, null, null, Input.WAKE);
             return;
         }
-        if (kind != Listed.ListKind.CHANGES) {
+        if (kind != ListedMember.ListKind.CHANGES) {
             nodes.forEach(n -> n.gone = true); // what a full list leaves out is gone
             nodes.forEach(n -> n.open &= goneOpen);
         }
-        for (Listed entry : entries) {
-            Node node = (Node) entry.member().state;
+        for (ListedMember entry : entries) {
+            Node node = (Node) entry.member().routingState;
             Group group = groups.computeIfAbsent(entry.group(), Group::new);
             if (node == null) {
                 nodes.add(node = new Node(entry.member(), brisk / 16));
@@ -265,11 +265,11 @@
                 node.group.nodes.remove(node);
                 node.group = group;
                 group.nodes.add(node);
-                node.position = Report.NO_POSITION;
+                node.position = LoadReport.NO_POSITION;
                 node.unsay();
             }
-            boolean up = entry.phase() == Listed.Phase.UP, opened = !node.open && up;
-            node.gone = entry.phase() == Listed.Phase.GONE;
+            boolean up = entry.phase() == ListedMember.Phase.UP, opened = !node.open && up;
+            node.gone = entry.phase() == ListedMember.Phase.GONE;
             node.open = up || goneOpen && node.open && node.gone;
             node.listedPrimary = entry.primary();
             long start = entry.startedAt() == 0 ? LONG_AGO : entry.startedAt();
@@ -298,32 +298,32 @@
             return false;
         }
         node.open = false;
-        effects.forget(node.member);
+        effects.forgetMember(node.member);
         return node.group.nodes.remove(node);
     }
 
-    @Override public void arrived(Rpc rpc) {
+    @Override public void rpcArrived(Rpc rpc) {
         Job job = new Job(rpc, groups.get(rpc.group), now);
-        rpc.state = job;
+        rpc.routingState = job;
         if (!UNKNOWN.test(this, job) && (!parts.containsKey(rpc.method) || !rpc.retry)) {
-            parts.computeIfAbsent(rpc.method, m -> new Tally()).asked();
+            parts.computeIfAbsent(rpc.method, m -> new SuccessRate()).recordAttempt();
         }
         step(job, Input.ARRIVE);
         if (job.state != State.ENDED) {
-            later(rpc.due - tick, job, null, Input.DUE);
+            later(rpc.deadline - tick, job, null, Input.DUE);
         }
     }
 
-    @Override public void ready(CallOut call) {
-        Job job = (Job) call.rpc.state;
+    @Override public void connectionReady(CallOut call) {
+        Job job = (Job) call.rpc.routingState;
         job.ready = call;
         step(job, Input.READY); // which alone reads it
     }
 
-    @Override public void done(CallOut call, Outcome outcome, long took, boolean ended, long position,
-            Role role, Report report) {
-        Node node = (Node) call.member.state;
-        Job job = (Job) call.rpc.state;
+    @Override public void callOutEnded(CallOut call, Outcome outcome, long took, boolean ended, long position,
+            Role role, LoadReport report) {
+        Node node = (Node) call.member.routingState;
+        Job job = (Job) call.rpc.routingState;
         Method method = call.rpc.method;
         node.inFlight--;
         job.out--;
@@ -331,9 +331,9 @@
         learn(node, report.position(), report.role(), report.position());
         health(node, outcome, took, method);
         if (outcome == Outcome.OK && ended && now - job.arrived < method.softDeadline()) {
-            parts.get(method).well();
+            parts.get(method).recordSuccess();
         }
-        if (remembered && outcome == Outcome.OK && method.need() == Need.WRITE && call.rpc.session != null) {
+        if (remembered && outcome == Outcome.OK && method.consistency() == Consistency.WRITE && call.rpc.session != null) {
             writes.merge(call.rpc.session, now, Math::max); // its commit was no later
         }
         job.mayHaveRunAt = Math.min(job.mayHaveRunAt, outcome.provesNeverRan ? NEVER : call.sentAt);
@@ -342,13 +342,13 @@
         step(job, ended ? Input.OK : Input.FAILED);
     }
 
-    @Override public void probed(Member member, Outcome outcome, long took, Report report) {
-        Node node = (Node) member.state;
+    @Override public void probeEnded(Member member, Outcome outcome, long took, LoadReport report) {
+        Node node = (Node) member.routingState;
         node.probing = false;
-        if (report.inFlight() >= 0 || report.queue() >= 0) {
+        if (report.inFlight() >= 0 || report.queueLength() >= 0) {
             double part = now - 4 * brisk > node.reportedAt ? 1 : 0.25; // an old one counts no more
-            node.busy += (report.busy() - node.busy) * part;
-            node.load += (Math.max(report.inFlight(), report.queue()) - node.load) * part;
+            node.busy += (report.cpuUtilization() - node.busy) * part;
+            node.load += (Math.max(report.inFlight(), report.queueLength()) - node.load) * part;
             node.reportedAt = now;
         }
         learn(node, report.position(), report.role(), report.position());
@@ -356,10 +356,10 @@
         node.mayTry = node.aside && outcome == Outcome.OK;
     }
 
-    @Override public void clientGone(Rpc rpc) { step((Job) rpc.state, Input.LEFT); }
+    @Override public void clientGone(Rpc rpc) { step((Job) rpc.routingState, Input.LEFT); }
 
-    @Override public String why(Rpc rpc) {
-        Job job = (Job) rpc.state;
+    @Override public String explain(Rpc rpc) {
+        Job job = (Job) rpc.routingState;
         if (UNKNOWN.test(this, job)) {
             return "no such group or method";
         }
@@ -377,13 +377,13 @@
         return line.toString();
     }
 
-    @Override public void dueSooner(Rpc rpc) {
-        later(rpc.due - tick, (Job) rpc.state, null, Input.DUE);
+    @Override public void deadlineShortened(Rpc rpc) {
+        later(rpc.deadline - tick, (Job) rpc.routingState, null, Input.DUE);
     }
 
     /** Newest evidence counts, by the time at which it was true. */
     private void learn(Node node, long position, Role role, long at) {
-        if (position != Report.NO_POSITION) {
+        if (position != LoadReport.NO_POSITION) {
             node.position = Math.max(node.position, Math.min(position, now));
             node.heardAt = now;
         }
@@ -428,41 +428,41 @@
     /** Rule 2, the cap, and the standing practice on further call-outs. */
     private boolean mayGoOn(Job job) {
         boolean further = job.further < (now < job.group.pressedUntil && job.misses == 0 ? 0 : FURTHER);
-        return further && job.rpc.callOuts.size() < allowed.callOuts() && now < latest(job) && mayRepeat(job);
+        return further && job.rpc.callOuts.size() < allowed.maxCallOuts() && now < latest(job) && mayRepeat(job);
     }
 
     /** Guards against call-outs that no client waits for: they would make an abort of a pushback. */
     private long latest(Job job) {
-        return job.rpc.due - 2 * tick - all.mean(brisk / 4);
+        return job.rpc.deadline - 2 * tick - all.mean(brisk / 4);
     }
 
     /** Rule 2: whether another call-out could do no harm, whatever became of the earlier ones. */
     private boolean mayRepeat(Job job) {
         long first = mayHaveRunAt(job);
-        return first == NEVER || switch (job.rpc.method.effect()) {
+        return first == NEVER || switch (job.rpc.method.retrySafety()) {
             case IDEMPOTENT -> true;
-            case TOKENED -> now + tick < first + job.rpc.method.window();
+            case TOKENED -> now + tick < first + job.rpc.method.deduplicationWindow();
             case NON_IDEMPOTENT -> false;
         };
     }
 
     /** When the first call-out went that may have run, or is still out; NEVER for none. */
     private long mayHaveRunAt(Job job) {
-        return job.rpc.callOuts.stream().filter(c -> !c.ended && !c.waiting).mapToLong(c -> c.sentAt)
+        return job.rpc.callOuts.stream().filter(c -> !c.ended && !c.awaitingConnection).mapToLong(c -> c.sentAt)
                 .reduce(job.mayHaveRunAt, Math::min);
     }
 
     private boolean silentAndMayMove(Job job) {
-        Node last = (Node) job.rpc.callOuts.get(job.rpc.callOuts.size() - 1).member.state;
+        Node last = (Node) job.rpc.callOuts.get(job.rpc.callOuts.size() - 1).member.routingState;
         if (last.inFlight > 0 && now - last.quietSince >= silence()) {
             putAside(last); // it has been given work and has told nothing since, whatever the cause
         }
-        return last.aside && (allowed.overlap() || allowed.cancel()) && NEXT_MAY_GO.test(this, job);
+        return last.aside && (allowed.hedging() || allowed.cancel()) && NEXT_MAY_GO.test(this, job);
     }
 
     /** A second call-out beside the silent one, or in its place once it is cancelled. */
     private void move(Job job) {
-        if (allowed.overlap()) {
+        if (allowed.hedging()) {
             send(job);
         } else {
             cancelAll(job);
@@ -471,10 +471,10 @@
 
     /** Guards the rules over a wait for a connection: age, drain, start and window are judged once more. */
     private boolean stillFits(Job job) {
-        Node node = (Node) job.ready.member.state;
+        Node node = (Node) job.ready.member.routingState;
         long bound = membersCheck ? NEVER : bound(job);
         boolean fit = node == job.group.primary || (job.read ? bound == NEVER || estimate(node) < bound
-                : job.group.primary == null && job.rpc.method.need() == Need.WRITE); // a fresh read needs one
+                : job.group.primary == null && job.rpc.method.consistency() == Consistency.WRITE); // a fresh read needs one
         node.sends.removeLastOccurrence(job.ready.sentAt);
         boolean warm = warmEnough(node);
         node.sends.addLast(job.ready.sentAt = now);
@@ -492,7 +492,7 @@
         node.asked = true;
         node.due--;
         node.sends.addLast(now);
-        effects.callOut(call, 0);
+        effects.sendCallOut(call, 0);
         watch(job);
     }
 
@@ -506,9 +506,9 @@
     private void hold(Job job) {
         Method m = job.rpc.method;
         long end = job.read ? job.arrived + m.softDeadline() / 4
-                : job.arrived + (m.lateShare() > 0 ? m.deadline() : m.softDeadline()) - 2 * tick;
-        if (job.mayHaveRunAt != NEVER && m.effect() == Effect.TOKENED) {
-            end = Math.min(end, job.mayHaveRunAt + m.window() - tick);
+                : job.arrived + (m.lateUtilityShare() > 0 ? m.deadline() : m.softDeadline()) - 2 * tick;
+        if (job.mayHaveRunAt != NEVER && m.retrySafety() == RetrySafety.TOKENED) {
+            end = Math.min(end, job.mayHaveRunAt + m.deduplicationWindow() - tick);
         }
         boolean blind = job.read && unheard(job);
         boolean inVain = !job.read ? job.group.primary != null && job.group.primary.restUntil > end
@@ -533,8 +533,8 @@
     /** The final answer, at once: a pushback where trying again can do no harm, else an abort. */
     private void giveUp(Job job) {
         Method m = job.rpc.method; // unknown only where nothing was sent
-        if (mayHaveRunAt(job) == NEVER || m.effect() == Effect.IDEMPOTENT
-                || m.effect() == Effect.TOKENED && m.scope() == Method.Scope.ALL) {
+        if (mayHaveRunAt(job) == NEVER || m.retrySafety() == RetrySafety.IDEMPOTENT
+                || m.retrySafety() == RetrySafety.TOKENED && m.deduplicationScope() == Method.DeduplicationScope.ALL) {
             effects.pushBack(job.rpc, comeBack);
         } else {
             effects.abort(job.rpc);
@@ -560,7 +560,7 @@
     // ---- The draw ----
 
     private boolean findTarget(Job job) {
-        job.target = job.read ? replica(job, bound(job)) : lead(job, job.rpc.method.need());
+        job.target = job.read ? replica(job, bound(job)) : lead(job, job.rpc.method.consistency());
         return job.target != null;
     }
 
@@ -583,9 +583,9 @@
             return false;
         }
         double least = parts.keySet().stream()
-                .filter(m -> m.need() == Need.BOUNDED || m.need() == Need.SESSION)
-                .mapToDouble(m -> parts.get(m).share()).min().orElse(1); // that one comes first
-        double fair = Math.pow(least / parts.get(job.rpc.method).share(), 2);
+                .filter(m -> m.consistency() == Consistency.BOUNDED || m.consistency() == Consistency.SESSION)
+                .mapToDouble(m -> parts.get(m).rate()).min().orElse(1); // that one comes first
+        double fair = Math.pow(least / parts.get(job.rpc.method).rate(), 2);
         double limit = brisk * 5 / 16.0 * (job.rpc.retry ? 0.5 : 1) // a retry is late already, or soon
                 * Math.max(0.5, fair); // one that nothing helps must not keep the others out
         return chance() < Math.pow(limit / primary.recent.mean(brisk * 3 / 8), 4)
@@ -601,13 +601,13 @@
     }
 
     /** The last known primary; while none is known, writes try members in turn, one round or half the cap. */
-    private Node lead(Job job, Need need) {
+    private Node lead(Job job, Consistency need) {
         Node primary = job.group.primary;
         if (primary != null) {
             return usable(primary) || primary.reported && trial(primary) ? primary : null;
         }
-        int most = Math.min(job.group.nodes.size(), allowed.callOuts() / 2);
-        boolean wait = need == Need.FRESH || job.misses >= most;
+        int most = Math.min(job.group.nodes.size(), allowed.maxCallOuts() / 2);
+        boolean wait = need == Consistency.FRESH || job.misses >= most;
         Node best = null;
         for (Node n : job.group.nodes) {
             boolean surely = n.role == Role.REPLICA && now - n.roleAt < allowed.connectTimeout();
@@ -638,7 +638,7 @@
                 ask = n;
             }
             boolean again = job.at(n) && job.group.nodes.size() > 2;
-            boolean inTime = now + usually < job.rpc.due; // guards against work that no client waits for
+            boolean inTime = now + usually < job.rpc.deadline; // guards against work that no client waits for
             boolean fit = (any || estimate(n) < bound) && !crowded(n) && !again && inTime;
             if (fit && chance() * (fitting += weight) < weight) {
                 pick = n;
@@ -657,25 +657,25 @@
 
     /** The lag that the data may have now; NEVER where any will do. */
     private long bound(Job job) {
-        Need need = job.rpc.method.need();
-        if (need == Need.BOUNDED) {
+        Consistency need = job.rpc.method.consistency();
+        if (need == Consistency.BOUNDED) {
             return job.rpc.method.maxAge();
         }
-        if (need == Need.SESSION && remembered) {
+        if (need == Consistency.SESSION && remembered) {
             Long write = job.rpc.session == null ? null : writes.get(job.rpc.session);
             return write == null ? NEVER : now - write;
         }
-        return need == Need.SESSION && job.rpc.tokenAge > 0 ? now - job.arrived + job.rpc.tokenAge : NEVER;
+        return need == Consistency.SESSION && job.rpc.sessionTokenAge > 0 ? now - job.arrived + job.rpc.sessionTokenAge : NEVER;
     }
 
     /** Lag by the clock since the last known position, floored and padded; the window is one reading. */
     private long estimate(Node node) {
-        return node.position == Report.NO_POSITION ? NEVER : Math.max(now - node.position, floor) + pad;
+        return node.position == LoadReport.NO_POSITION ? NEVER : Math.max(now - node.position, floor) + pad;
     }
 
     /** Guards against probes in vain, as of late reports: the older the position found last, the rarer. */
     private long probeGap(Node node) {
-        long found = node.position == Report.NO_POSITION ? 0 : node.probedAt - node.position;
+        long found = node.position == LoadReport.NO_POSITION ? 0 : node.probedAt - node.position;
         return Math.max(probeAge, Math.min(found, 8 * brisk)) / 2;
     }
 
@@ -729,7 +729,7 @@
     // ---- Health ----
 
     /** How long a member that has work may say nothing. */
-    private long silence() { return Math.max(all.below(0.95, brisk), brisk / 4); }
+    private long silence() { return Math.max(all.quantile(0.95, brisk), brisk / 4); }
 
     private void health(Node node, Outcome outcome, long took, Method method) {
         long wanted = method.softDeadline() > 0 ? method.softDeadline() : brisk;
@@ -830,7 +830,7 @@
         if (node.aside && node.open && now >= node.trialAt) {
             if (!node.reported && node.trialWait >= 4 * brisk) { // a line only where it lasts
                 effects.log(node.member.id + " is put aside");
-                effects.closeIdle(node.member); // its machine may come back and reset them
+                effects.closeIdleConnections(node.member); // its machine may come back and reset them
                 node.reported = true;
             }
             node.mayTry |= !allowed.probes();
--- a/src/main/java/reedquay/sim/Fields.java
+++ b/src/main/java/reedquay/sim/Fields.java
@@ -98,7 +98,7 @@
 
     long scaled(String part, int digits, String expected) {
         try {
-            return Decimal.scaled(part, digits);
+            return Decimal.parseScaled(part, digits);
         } catch (NumberFormatException | ArithmeticException e) {
             throw bad(expected);
         }
--- a/src/main/java/reedquay/sim/Gateway.java
+++ b/src/main/java/reedquay/sim/Gateway.java
@@ -8,29 +8,29 @@
 import java.util.Map;
 import java.util.Set;
 import reedquay.core.CallOut;
-import reedquay.core.Decider;
-import reedquay.core.Effects;
-import reedquay.core.Listed;
+import reedquay.core.RoutingEngine;
+import reedquay.core.RoutingActions;
+import reedquay.core.ListedMember;
 import reedquay.core.Member;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.Report;
-import reedquay.core.Reports;
+import reedquay.core.LoadReport;
+import reedquay.core.LoadReportParser;
 import reedquay.core.Role;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
 import reedquay.core.SettingsReader;
 
 /** One instance: ids become objects here, and the decisions' effects become lines. */
-final class Gateway implements Effects {
+final class Gateway implements RoutingActions {
     final long id;
-    private final Decider decider;
+    private final RoutingEngine decider;
     private final Map<String, Method> methods = new HashMap<>();
     private final Map<String, Member> members = new HashMap<>();
     private final Map<Long, Rpc> rpcs = new HashMap<>();
     private final Set<Integer> groups = new HashSet<>();
     private final Set<String> complained = new HashSet<>();
-    private final Reports reports;
+    private final LoadReportParser reports;
     private final boolean progressTold;
     private final StringBuilder out = new StringBuilder();
 
@@ -40,23 +40,23 @@
         SettingsReader reader = new SettingsReader(line.pairs());
         Settings settings;
         try {
-            settings = reader.settings(seed);
-            reports = reader.reports(reader.simulatorsZero());
+            settings = reader.readSettings(seed);
+            reports = reader.loadReportParser(reader.simulatorEpoch());
         } catch (IllegalArgumentException e) {
             throw line.bad(e.getMessage());
         }
-        progressTold = settings.positions().inAnswers();
+        progressTold = settings.positionSources().inAnswers();
         settings.methods().forEach(m -> methods.put(m.name(), m));
         decider = maker.make(settings, this);
     }
 
     void begin(long now) {
-        decider.begin(now);
+        decider.beginBatch(now);
     }
 
     /** Appends what this instance does, under its own heading. */
     void end(StringBuilder reply) {
-        decider.end();
+        decider.endBatch();
         if (out.length() > 0) {
             reply.append("AS ").append(id).append('\n').append(out);
             out.setLength(0);
@@ -73,7 +73,7 @@
                 Member member = member(line);
                 Outcome outcome = outcome(line);
                 long took = line.millis("the time it took");
-                decider.probed(member, outcome, took, report(line));
+                decider.probeEnded(member, outcome, took, report(line));
             }
             case "CLIENT_GONE" -> {
                 Rpc rpc = rpcs.get(line.integer("a request id"));
@@ -114,9 +114,9 @@
             complain("an RPC names a method or a group that is not known here");
         }
         Rpc rpc = new Rpc(handle, group, session, due, (opts & 2) != 0, tokenAge, tenant, method);
-        rpc.caller = session;
+        rpc.clientId = session;
         rpcs.put(handle, rpc);
-        decider.arrived(rpc);
+        decider.rpcArrived(rpc);
     }
 
     private void done(Fields line) {
@@ -127,7 +127,7 @@
         long took = line.millis("the time it took");
         boolean ended = line.bool("1 or 0");
         line.word("a database server");
-        Report report = report(line);
+        LoadReport report = report(line);
         if (rpc == null || attempt < 0 || attempt >= rpc.callOuts.size() || rpc.callOuts.get(attempt).ended) {
             complain("an outcome came for a call-out that is not known here");
             return;
@@ -135,24 +135,24 @@
         CallOut callOut = rpc.callOuts.get(attempt);
         callOut.ended = true;
         rpc.ended |= ended;
-        boolean commit = outcome == Outcome.OK && rpc.method.need() == Method.Need.WRITE;
-        long position = progressTold && stamp != 0 ? reports.position(stamp >> 2, commit) : Report.NO_POSITION;
+        boolean commit = outcome == Outcome.OK && rpc.method.consistency() == Method.Consistency.WRITE;
+        long position = progressTold && stamp != 0 ? reports.position(stamp >> 2, commit) : LoadReport.NO_POSITION;
         Role role = (stamp & 3) == 1 ? Role.PRIMARY : (stamp & 3) == 2 ? Role.REPLICA : Role.UNKNOWN;
-        decider.done(callOut, outcome, took, ended, position, role, report);
+        decider.callOutEnded(callOut, outcome, took, ended, position, role, report);
         forget(rpc);
     }
 
     private void membership(Fields line, String[][] lists) {
-        Listed.ListKind kind = switch (line.word("the form of the list")) {
-            case "all" -> Listed.ListKind.FULL;
-            case "changes" -> Listed.ListKind.CHANGES;
-            case "remembered" -> Listed.ListKind.REMEMBERED;
-            case "refused" -> Listed.ListKind.REFUSED;
+        ListedMember.ListKind kind = switch (line.word("the form of the list")) {
+            case "all" -> ListedMember.ListKind.FULL;
+            case "changes" -> ListedMember.ListKind.CHANGES;
+            case "remembered" -> ListedMember.ListKind.CACHED;
+            case "refused" -> ListedMember.ListKind.REFUSED;
             default -> throw line.bad("all, changes, remembered or refused");
         };
         line.optional("the list's version");
-        List<Listed> entries = new ArrayList<>();
-        if (kind != Listed.ListKind.REFUSED) {
+        List<ListedMember> entries = new ArrayList<>();
+        if (kind != ListedMember.ListKind.REFUSED) {
             int ref = (int) line.integer("a list number");
             if (ref < 0 || ref > 15 || lists[ref] == null) {
                 throw line.bad("the number of a list that was defined");
@@ -161,26 +161,26 @@
                 entries.add(entry(new Fields(text)));
             }
         }
-        decider.list(kind, entries);
+        decider.membersListed(kind, entries);
     }
 
-    private Listed entry(Fields line) {
+    private ListedMember entry(Fields line) {
         line.name();
         Member member = members.computeIfAbsent(line.word("a database server"), Member::new);
         String zone = line.optional("a zone");
         String kind = line.optional("a kind of machine");
         int group = (int) line.integerOr(-1, "a group's number");
         groups.add(group);
-        Listed.Phase phase = switch (line.word("U, L or D")) {
-            case "U" -> Listed.Phase.UP;
-            case "L" -> Listed.Phase.DRAINING;
-            case "D" -> Listed.Phase.GONE;
+        ListedMember.Phase phase = switch (line.word("U, L or D")) {
+            case "U" -> ListedMember.Phase.UP;
+            case "L" -> ListedMember.Phase.DRAINING;
+            case "D" -> ListedMember.Phase.GONE;
             default -> throw line.bad("U, L or D");
         };
         boolean leads = line.numberOr(0, "1 for the primary") == 1;
         double heft = line.numberOr(1, "a size");
         long startedAt = line.millisOr(0, "the time of its start");
-        return new Listed(member, zone, kind, group, phase, leads, heft, startedAt);
+        return new ListedMember(member, zone, kind, group, phase, leads, heft, startedAt);
     }
 
     private Member member(Fields line) {
@@ -206,13 +206,13 @@
         };
     }
 
-    private Report report(Fields line) {
+    private LoadReport report(Fields line) {
         String row = line.optional("a load report");
         if (row == null) {
-            return Report.NONE;
+            return LoadReport.NONE;
         }
         try {
-            return reports.inOrder(row.split(",", -1));
+            return reports.parseOrdered(row.split(",", -1));
         } catch (NumberFormatException | ArithmeticException e) {
             throw line.bad("numbers, no more than there are report names");
         }
@@ -236,12 +236,12 @@
         return out;
     }
 
-    @Override public void callOut(CallOut callOut, long limit) {
+    @Override public void sendCallOut(CallOut callOut, long limit) {
         out.append("DELIVER ").append(callOut.rpc.id).append(' ');
         timed(callOut.member.id, limit).append('\n');
     }
 
-    @Override public void go(CallOut callOut) {
+    @Override public void proceed(CallOut callOut) {
         assert false : "the simulator's connections are not the gateway's";
     }
 
@@ -268,19 +268,19 @@
         out.append("SAMPLE ").append(member.id).append('\n');
     }
 
-    @Override public void closeIdle(Member member) {
+    @Override public void closeIdleConnections(Member member) {
         // the simulator's connections are not the gateway's
     }
 
-    @Override public void forget(Member member) {
+    @Override public void forgetMember(Member member) {
         members.remove(member.id);
     }
 
-    @Override public void wakeIn(long delay) {
+    @Override public void scheduleWakeUp(long delay) {
         timed("SET_ALARM", delay).append(" 0\n");
     }
 
-    @Override public void subscribe() {
+    @Override public void requestMemberList() {
         out.append("OBSERVE 1\n");
     }
 
--- a/src/main/java/reedquay/sim/SimHost.java
+++ b/src/main/java/reedquay/sim/SimHost.java
@@ -14,8 +14,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeMap;
-import reedquay.core.Decider;
-import reedquay.core.Effects;
+import reedquay.core.RoutingEngine;
+import reedquay.core.RoutingActions;
 import reedquay.core.Settings;
 import reedquay.route.Router;
 
@@ -23,7 +23,7 @@
 public final class SimHost {
     /** Makes the decisions of one instance. */
     public interface Maker {
-        Decider make(Settings settings, Effects effects);
+        RoutingEngine make(Settings settings, RoutingActions effects);
     }
 
     private final Maker maker;
--- a/src/test/java/reedquay/fair/TurnsTest.java
+++ b/src/test/java/reedquay/fair/TurnsTest.java
@@ -11,13 +11,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import reedquay.core.CallOut;
-import reedquay.core.Decider;
-import reedquay.core.Effects;
-import reedquay.core.Listed;
+import reedquay.core.RoutingEngine;
+import reedquay.core.RoutingActions;
+import reedquay.core.ListedMember;
 import reedquay.core.Member;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.Report;
+import reedquay.core.LoadReport;
 import reedquay.core.Role;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
@@ -26,15 +26,15 @@
 /** The door alone: behind it decisions that hold what they get until the test says, before it a plain record. */
 class TurnsTest {
     private static final long MS = 1_000_000;
-    private static final Method READ = method("read", Method.Need.ANY, Method.Effect.IDEMPOTENT, 0);
-    private static final Method WRITE = method("write", Method.Need.WRITE, Method.Effect.NON_IDEMPOTENT, 0.5);
+    private static final Method READ = method("read", Method.Consistency.ANY, Method.RetrySafety.IDEMPOTENT, 0);
+    private static final Method WRITE = method("write", Method.Consistency.WRITE, Method.RetrySafety.NON_IDEMPOTENT, 0.5);
 
-    private static Method method(String name, Method.Need need, Method.Effect effect, double late) {
-        return new Method(name, need, 0, 400 * MS, 1500 * MS, 1, late, effect, Method.Scope.ALL, 0);
+    private static Method method(String name, Method.Consistency need, Method.RetrySafety effect, double late) {
+        return new Method(name, need, 0, 400 * MS, 1500 * MS, 1, late, effect, Method.DeduplicationScope.ALL, 0);
     }
 
     /** The world on both sides of a door. */
-    private static final class Desk extends Stage implements Decider {
+    private static final class Desk extends Stage implements RoutingEngine {
         final Turns turns;
         final Member member = new Member("m");
         final List<Rpc> inside = new ArrayList<>();
@@ -49,19 +49,19 @@
             super(null);
             Settings settings = new Settings(3, "a", 0, 1, 5 * MS, List.of(READ, WRITE),
                     List.of(new Settings.Tenant("acme", 10)),
-                    new Settings.Allowed(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
+                    new Settings.Capabilities(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
                     new Settings.Rules(0.25, 10_000 * MS, 3, 1000 * MS, 500 * MS, 20 * MS, 10_000 * MS, false),
-                    new Settings.Positions(true, false, true, false, false), new Settings.Prices(0, 0, 0, 0, 0));
+                    new Settings.PositionSources(true, false, true, false, false), new Settings.Costs(0, 0, 0, 0, 0));
             turns = new Turns(settings, new Terms(waiting, Map.of()), this);
-            turns.before(new Behind(this));
-            batch(() -> turns.list(Listed.ListKind.FULL,
-                    List.of(new Listed(member, "a", "s", 1, Listed.Phase.UP, true, 1, 0))));
+            turns.setNext(new Behind(this));
+            batch(() -> turns.membersListed(ListedMember.ListKind.FULL,
+                    List.of(new ListedMember(member, "a", "s", 1, ListedMember.Phase.UP, true, 1, 0))));
         }
 
         void batch(Runnable what) {
-            turns.begin(now);
+            turns.beginBatch(now);
             what.run();
-            turns.end();
+            turns.endBatch();
         }
 
         void pass(long millis) {
@@ -76,9 +76,9 @@
 
         Rpc ask(String caller, Method method, long wait) {
             Rpc rpc = new Rpc(++ids, 1, null, now + wait * MS, false, 0, "acme", method);
-            rpc.caller = caller;
+            rpc.clientId = caller;
             came.put(rpc, now);
-            batch(() -> turns.arrived(rpc));
+            batch(() -> turns.rpcArrived(rpc));
             return rpc;
         }
 
@@ -86,17 +86,17 @@
             assertTrue(inside.remove(rpc));
             CallOut call = rpc.callOuts.get(0);
             call.ended = rpc.ended = true;
-            batch(() -> turns.done(call, Outcome.OK, now - call.sentAt, true, Report.NO_POSITION, Role.UNKNOWN,
-                    Report.NONE));
+            batch(() -> turns.callOutEnded(call, Outcome.OK, now - call.sentAt, true, LoadReport.NO_POSITION, Role.UNKNOWN,
+                    LoadReport.NONE));
         }
 
         void full(Rpc rpc) { // a member has no room: the first sign of pressure
-            batch(() -> turns.done(rpc.callOuts.get(0), Outcome.FULL, MS, false, Report.NO_POSITION, Role.UNKNOWN,
-                    Report.NONE));
+            batch(() -> turns.callOutEnded(rpc.callOuts.get(0), Outcome.FULL, MS, false, LoadReport.NO_POSITION, Role.UNKNOWN,
+                    LoadReport.NONE));
         }
 
         long waiting() {
-            return turns.show("ways").stream().skip(1).mapToLong(r -> Long.parseLong(r[4])).sum();
+            return turns.statisticsTable("ways").stream().skip(1).mapToLong(r -> Long.parseLong(r[4])).sum();
         }
 
         /** Pressed, with four inside at the most and nothing waiting. */
@@ -109,7 +109,7 @@
             return this;
         }
 
-        @Override public void callOut(CallOut callOut, long limit) { }
+        @Override public void sendCallOut(CallOut callOut, long limit) { }
 
         @Override public void pushBack(Rpc rpc, long after) {
             assertFalse(rpc.ended, "one final answer");
@@ -117,46 +117,46 @@
             rpc.ended = true;
             back.put(rpc, after);
             long waited = now - came.get(rpc);
-            assertTrue(waited <= (rpc.due - came.get(rpc)) / 2, () -> "half of its time is gone: " + waited + " of "
-                    + (rpc.due - came.get(rpc)));
+            assertTrue(waited <= (rpc.deadline - came.get(rpc)) / 2, () -> "half of its time is gone: " + waited + " of "
+                    + (rpc.deadline - came.get(rpc)));
         }
 
-        @Override public void wakeIn(long delay) { alarm = now + delay / 1000 * 1000; } // the last word counts
+        @Override public void scheduleWakeUp(long delay) { alarm = now + delay / 1000 * 1000; } // the last word counts
 
         @Override public void log(String line) { }
     }
 
     /** Calls each RPC out at once and holds it. */
-    private static final class Behind implements Decider {
+    private static final class Behind implements RoutingEngine {
         private final Desk desk;
 
         Behind(Desk desk) { this.desk = desk; }
 
-        @Override public void begin(long now) { }
+        @Override public void beginBatch(long now) { }
 
-        @Override public void list(Listed.ListKind kind, List<Listed> entries) { }
+        @Override public void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) { }
 
-        @Override public void arrived(Rpc rpc) {
+        @Override public void rpcArrived(Rpc rpc) {
             assertFalse(rpc.ended, "nothing goes in after its answer");
             desk.inside.add(rpc);
             desk.seen.add(rpc);
             CallOut call = new CallOut(rpc, desk.member, desk.now);
             rpc.callOuts.add(call);
-            ((Effects) desk.turns).callOut(call, 0);
+            ((RoutingActions) desk.turns).sendCallOut(call, 0);
         }
 
-        @Override public void done(CallOut c, Outcome o, long took, boolean ended, long p, Role r, Report report) { }
+        @Override public void callOutEnded(CallOut c, Outcome o, long took, boolean ended, long p, Role r, LoadReport report) { }
 
-        @Override public void ready(CallOut callOut) { }
+        @Override public void connectionReady(CallOut callOut) { }
 
-        @Override public void probed(Member m, Outcome outcome, long took, Report report) { }
+        @Override public void probeEnded(Member m, Outcome outcome, long took, LoadReport report) { }
 
         @Override public void clientGone(Rpc rpc) {
             assertTrue(desk.seen.contains(rpc), "the Router knows nothing of what only waited");
             desk.inside.remove(rpc);
         }
 
-        @Override public void end() { }
+        @Override public void endBatch() { }
     }
 
     @Test void withoutPressureAllGoIn() {
@@ -208,9 +208,9 @@
         for (int i = 0; i < 20; i++) {
             last.add(d.ask("c" + i, WRITE, i % 2 == 0 ? 60 : 3000));
         }
-        last.stream().filter(r -> !r.ended && r.due > d.now + 60 * MS).forEach(r -> {
-            r.due = d.now + 60 * MS;
-            d.batch(() -> d.turns.dueSooner(r));
+        last.stream().filter(r -> !r.ended && r.deadline > d.now + 60 * MS).forEach(r -> {
+            r.deadline = d.now + 60 * MS;
+            d.batch(() -> d.turns.deadlineShortened(r));
         });
         d.pass(61);
         assertTrue(last.stream().allMatch(r -> r.ended || d.seen.contains(r)));
@@ -225,17 +225,17 @@
         for (int i = 0; i < 100; i++) {
             waits.add(d.ask("c" + i, WRITE, 60_000));
         }
-        waits.forEach(r -> keys.add(((Turn) r.turn).key));
+        waits.forEach(r -> keys.add(((Turn) r.filterState).key));
         assertEquals(100, keys.size());
         d.now += 64 * 400 * MS;
         d.alarm = Long.MAX_VALUE;
         for (Rpc r : waits) { // nobody is late for this
-            ((Turn) r.turn).until += 1_000_000 * MS;
+            ((Turn) r.filterState).until += 1_000_000 * MS;
         }
         long before = d.waiting();
         d.batch(() -> { });
         waits.stream().filter(r -> !r.ended && !d.seen.contains(r))
-                .forEach(r -> assertTrue(keys.add(((Turn) r.turn).key), "another key"));
+                .forEach(r -> assertTrue(keys.add(((Turn) r.filterState).key), "another key"));
         assertEquals(before, d.waiting() + d.back.size());
     }
 
@@ -275,7 +275,7 @@
                 assertFalse(d.back.containsKey(rpc) && d.seen.contains(rpc), "seed " + seed);
                 assertTrue(d.back.containsKey(rpc) || d.seen.contains(rpc) || left.contains(rpc), "seed " + seed);
             }
-            assertTrue(d.turns.show("ways").stream().skip(1).allMatch(r -> r[3].equals("0")), "all have left");
+            assertTrue(d.turns.statisticsTable("ways").stream().skip(1).allMatch(r -> r[3].equals("0")), "all have left");
         }
     }
 }
--- a/src/test/java/reedquay/net/GatewayTest.java
+++ b/src/test/java/reedquay/net/GatewayTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import reedquay.core.Listed;
+import reedquay.core.ListedMember;
 import reedquay.pg.Frame;
 import reedquay.pg.Messages;
 import reedquay.route.Router;
@@ -489,7 +489,7 @@
                 }
             }, new Limits(128, 192), new Counters(), told.settings(), 1, Router::new);
             Pool pool = door.pool("one");
-            door.membersListed(Listed.ListKind.FULL, List.of(new Listed(pool.member, "", "", 1, Listed.Phase.UP, true, 1, 0)));
+            door.membersListed(ListedMember.ListKind.FULL, List.of(new ListedMember(pool.member, "", "", 1, ListedMember.Phase.UP, true, 1, 0)));
             MemberConnection connection = new MemberConnection(door, pool, 0);
             EmbeddedChannel wire = new EmbeddedChannel(connection.decoder, connection);
             wire.writeInbound(Messages.readyForQuery(Messages.startupResponse(Unpooled.buffer(), 1, 1)));
--- a/src/test/java/reedquay/route/Gate.java
+++ b/src/test/java/reedquay/route/Gate.java
@@ -6,25 +6,25 @@
 import java.util.Map;
 import java.util.function.BiFunction;
 import reedquay.core.*;
-import reedquay.core.Method.Effect;
-import reedquay.core.Method.Need;
-import reedquay.core.Method.Scope;
+import reedquay.core.Method.RetrySafety;
+import reedquay.core.Method.Consistency;
+import reedquay.core.Method.DeduplicationScope;
 
 /** A Router under test with its clock, its members and a record of what it did. */
-class Gate implements Effects {
+class Gate implements RoutingActions {
     static final long MS = 1_000_000;
-    static final Method WRITE = method("write", Need.WRITE, Effect.TOKENED, Scope.GROUP, 0.5);
-    static final Method ONCE = method("once", Need.WRITE, Effect.NON_IDEMPOTENT, Scope.GROUP, 0.5);
-    static final Method FRESH = method("fresh", Need.FRESH, Effect.IDEMPOTENT, Scope.ALL, 0);
-    static final Method BOUNDED = method("bounded", Need.BOUNDED, Effect.IDEMPOTENT, Scope.ALL, 0);
-    static final Method CHEAP = new Method("cheap", Need.BOUNDED, 300 * MS, 400 * MS, 1500 * MS, 0.5, 0,
-            Effect.IDEMPOTENT, Scope.ALL, 1000 * MS);
-    static final Method SESSION = method("session", Need.SESSION, Effect.IDEMPOTENT, Scope.ALL, 0);
-    static final Method ANY = method("any", Need.ANY, Effect.IDEMPOTENT, Scope.ALL, 0);
+    static final Method WRITE = method("write", Consistency.WRITE, RetrySafety.TOKENED, DeduplicationScope.GROUP, 0.5);
+    static final Method ONCE = method("once", Consistency.WRITE, RetrySafety.NON_IDEMPOTENT, DeduplicationScope.GROUP, 0.5);
+    static final Method FRESH = method("fresh", Consistency.FRESH, RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, 0);
+    static final Method BOUNDED = method("bounded", Consistency.BOUNDED, RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, 0);
+    static final Method CHEAP = new Method("cheap", Consistency.BOUNDED, 300 * MS, 400 * MS, 1500 * MS, 0.5, 0,
+            RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, 1000 * MS);
+    static final Method SESSION = method("session", Consistency.SESSION, RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, 0);
+    static final Method ANY = method("any", Consistency.ANY, RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, 0);
     static final List<Method> METHODS = List.of(WRITE, ONCE, FRESH, BOUNDED, CHEAP, SESSION, ANY);
 
     final Settings settings;
-    final Decider router;
+    final RoutingEngine router;
     final Map<String, Member> members = new HashMap<>();
     final List<CallOut> out = new ArrayList<>();
     final List<CallOut> cancelled = new ArrayList<>();
@@ -45,16 +45,16 @@
     }
 
     Gate(boolean overlap, boolean answersTell, boolean probesTell, boolean onlyDraining, int index, int gateways,
-            BiFunction<Settings, Effects, Decider> maker) {
+            BiFunction<Settings, RoutingActions, RoutingEngine> maker) {
         this(new Settings(7 + index, "here", index, gateways, 5 * MS, METHODS,
                 List.of(new Settings.Tenant("small", Math.max(2, gateways / 5))),
-                new Settings.Allowed(true, false, true, overlap, true, 1000 * MS, 6, 250 * MS, false),
+                new Settings.Capabilities(true, false, true, overlap, true, 1000 * MS, 6, 250 * MS, false),
                 new Settings.Rules(0.25, 10_000 * MS, 3, 1000 * MS, 500 * MS, 20 * MS, 10_000 * MS, onlyDraining),
-                new Settings.Positions(answersTell, false, probesTell, false, false),
-                new Settings.Prices(0.03, 0.08, 0.01, 0.01, 0.08)), maker);
+                new Settings.PositionSources(answersTell, false, probesTell, false, false),
+                new Settings.Costs(0.03, 0.08, 0.01, 0.01, 0.08)), maker);
     }
 
-    Gate(Settings settings, BiFunction<Settings, Effects, Decider> maker) {
+    Gate(Settings settings, BiFunction<Settings, RoutingActions, RoutingEngine> maker) {
         this.settings = settings;
         router = maker.apply(settings, this);
     }
@@ -65,12 +65,12 @@
 
     static Gate usual(boolean onlyDraining) {
         Gate gate = new Gate(true, true, true, onlyDraining);
-        gate.batch(() -> gate.list(Listed.ListKind.REMEMBERED, gate.up("p", true), gate.up("r1", false),
+        gate.batch(() -> gate.list(ListedMember.ListKind.CACHED, gate.up("p", true), gate.up("r1", false),
                 gate.up("r2", false)));
         return gate;
     }
 
-    private static Method method(String name, Need need, Effect effect, Scope scope, double late) {
+    private static Method method(String name, Consistency need, RetrySafety effect, DeduplicationScope scope, double late) {
         return new Method(name, need, 300 * MS, 400 * MS, 1500 * MS, 1, late, effect, scope, 1000 * MS);
     }
 
@@ -78,22 +78,22 @@
         return members.computeIfAbsent(id, Member::new);
     }
 
-    Listed entry(String id, Listed.Phase phase, boolean primary, long startedAt) {
-        return new Listed(member(id), "here", "std", 1, phase, primary, 1, startedAt);
+    ListedMember entry(String id, ListedMember.Phase phase, boolean primary, long startedAt) {
+        return new ListedMember(member(id), "here", "std", 1, phase, primary, 1, startedAt);
     }
 
-    Listed up(String id, boolean primary) {
-        return entry(id, Listed.Phase.UP, primary, 0);
+    ListedMember up(String id, boolean primary) {
+        return entry(id, ListedMember.Phase.UP, primary, 0);
     }
 
-    void list(Listed.ListKind kind, Listed... entries) {
-        router.list(kind, List.of(entries));
+    void list(ListedMember.ListKind kind, ListedMember... entries) {
+        router.membersListed(kind, List.of(entries));
     }
 
     void batch(Runnable inputs) {
-        router.begin(now);
+        router.beginBatch(now);
         inputs.run();
-        router.end();
+        router.endBatch();
     }
 
     /** Lets time pass, with the alarms that fall due. */
@@ -113,7 +113,7 @@
 
     Rpc arrive(Method method, long tokenAge, boolean retry, String tenant) {
         Rpc rpc = new Rpc(++lastId, 1, "s", now + 1500 * MS, retry, tokenAge, tenant, method);
-        batch(() -> router.arrived(rpc));
+        batch(() -> router.rpcArrived(rpc));
         return rpc;
     }
 
@@ -136,20 +136,20 @@
         call.ended = true;
         call.rpc.ended |= outcome == Outcome.OK;
         out.remove(call);
-        router.done(call, outcome, now - call.sentAt, call.rpc.ended, position, role, Report.NONE);
+        router.callOutEnded(call, outcome, now - call.sentAt, call.rpc.ended, position, role, LoadReport.NONE);
     }
 
     void tellPosition(String id, long age) {
-        batch(() -> router.probed(member(id), Outcome.OK, MS,
-                new Report(now - age * MS, Role.REPLICA, -1, -1, -1)));
+        batch(() -> router.probeEnded(member(id), Outcome.OK, MS,
+                new LoadReport(now - age * MS, Role.REPLICA, -1, -1, -1)));
     }
 
-    @Override public void callOut(CallOut call, long limit) {
+    @Override public void sendCallOut(CallOut call, long limit) {
         out.add(call);
         did.add(now + " call out " + call.rpc.id + " " + call.member.id);
     }
 
-    @Override public void go(CallOut call) {
+    @Override public void proceed(CallOut call) {
         did.add(now + " go " + call.rpc.id);
     }
 
@@ -175,19 +175,19 @@
         did.add(now + " probe " + member.id);
     }
 
-    @Override public void closeIdle(Member member) {
+    @Override public void closeIdleConnections(Member member) {
         did.add(now + " close idle " + member.id);
     }
 
-    @Override public void forget(Member member) {
+    @Override public void forgetMember(Member member) {
         members.remove(member.id);
     }
 
-    @Override public void wakeIn(long delay) {
+    @Override public void scheduleWakeUp(long delay) {
         alarm = now + delay / 1000 * 1000; // a coarser clock rings a little early
     }
 
-    @Override public void subscribe() { }
+    @Override public void requestMemberList() { }
 
     @Override public void log(String line) { }
 }
--- a/src/test/java/reedquay/route/RouterTest.java
+++ b/src/test/java/reedquay/route/RouterTest.java
@@ -14,7 +14,7 @@
         gate.tellPosition("r2", 20);
         for (int i = 0; i < 5; i++) {
             assertEquals("r2", gate.last(gate.arrive(BOUNDED, 0)).member.id);
-            gate.answer(gate.out.get(0), Outcome.OK, Report.NO_POSITION, Role.REPLICA);
+            gate.answer(gate.out.get(0), Outcome.OK, LoadReport.NO_POSITION, Role.REPLICA);
         }
     }
 
@@ -36,7 +36,7 @@
     }
 
     @Test void primaryReadsWhereNoReplicaIsLeft() {
-        gate.batch(() -> gate.list(Listed.ListKind.FULL, gate.up("p", true)));
+        gate.batch(() -> gate.list(ListedMember.ListKind.FULL, gate.up("p", true)));
         assertEquals("p", gate.last(gate.arrive(ANY, 0)).member.id);
     }
 
@@ -71,17 +71,17 @@
 
     @Test void nonIdempotentIsAbortedWhenItMayHaveRun() {
         Rpc rpc = gate.arrive(ONCE, 0);
-        gate.answer(gate.last(rpc), Outcome.RESET, Report.NO_POSITION, Role.UNKNOWN);
+        gate.answer(gate.last(rpc), Outcome.RESET, LoadReport.NO_POSITION, Role.UNKNOWN);
         assertEquals(1, rpc.callOuts.size());
         assertTrue(gate.aborted.contains(rpc));
     }
 
     @Test void tokenedIsSentAgainWithinItsWindowOnlyAndThenAborted() {
         Rpc rpc = gate.arrive(WRITE, 0);
-        gate.answer(gate.last(rpc), Outcome.RESET, Report.NO_POSITION, Role.UNKNOWN);
-        gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.entry("p", Listed.Phase.DRAINING, true, 0)));
+        gate.answer(gate.last(rpc), Outcome.RESET, LoadReport.NO_POSITION, Role.UNKNOWN);
+        gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.entry("p", ListedMember.Phase.DRAINING, true, 0)));
         while (!gate.out.isEmpty()) {
-            gate.answer(gate.out.get(0), Outcome.MISS, Report.NO_POSITION, Role.REPLICA);
+            gate.answer(gate.out.get(0), Outcome.MISS, LoadReport.NO_POSITION, Role.REPLICA);
         }
         gate.pass(990);
         assertFalse(rpc.ended);
@@ -93,7 +93,7 @@
     @Test void memberThatResetsComesBackAtItsFullShare() {
         Rpc first = gate.arrive(ANY, 0);
         Member member = gate.last(first).member;
-        gate.answer(gate.last(first), Outcome.RESET, Report.NO_POSITION, Role.UNKNOWN);
+        gate.answer(gate.last(first), Outcome.RESET, LoadReport.NO_POSITION, Role.UNKNOWN);
         gate.pass(1000);
         int back = 0;
         for (int i = 0; i < 20; i++) {
@@ -107,7 +107,7 @@
         for (Outcome outcome : new Outcome[] {Outcome.SPOILT, Outcome.STALE, Outcome.RESET}) {
             Gate one = Gate.usual();
             Rpc write = one.arrive(ONCE, 0);
-            one.answer(one.last(write), outcome, Report.NO_POSITION, Role.UNKNOWN);
+            one.answer(one.last(write), outcome, LoadReport.NO_POSITION, Role.UNKNOWN);
             assertTrue(one.aborted.contains(write), "it may have run");
             assertEquals(outcome != Outcome.RESET, one.arrive(ONCE, 0).callOuts.size() == 1);
         }
@@ -117,36 +117,36 @@
     @Test void membersThatAreGoneAreForgottenOnceNothingIsOut() {
         gate.answer(gate.last(gate.arrive(WRITE, 0)), Outcome.OK, gate.now, Role.PRIMARY);
         CallOut call = gate.last(gate.arrive(ANY, 0));
-        gate.batch(() -> gate.router.probed(gate.member("r1"), Outcome.OK, MS, Report.NONE));
-        gate.batch(() -> gate.router.probed(gate.member("r2"), Outcome.OK, MS, Report.NONE));
-        gate.batch(() -> gate.router.probed(gate.member("p"), Outcome.OK, MS, Report.NONE));
-        Listed.Phase gone = Listed.Phase.GONE;
-        gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.entry("r1", gone, false, 0),
+        gate.batch(() -> gate.router.probeEnded(gate.member("r1"), Outcome.OK, MS, LoadReport.NONE));
+        gate.batch(() -> gate.router.probeEnded(gate.member("r2"), Outcome.OK, MS, LoadReport.NONE));
+        gate.batch(() -> gate.router.probeEnded(gate.member("p"), Outcome.OK, MS, LoadReport.NONE));
+        ListedMember.Phase gone = ListedMember.Phase.GONE;
+        gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.entry("r1", gone, false, 0),
                 gate.entry("r2", gone, false, 0), gate.entry("p", gone, true, 0)));
         assertEquals(2, gate.members.size(), "the one with a call-out, and one sent to just now");
         gate.pass(20_000);
         gate.answer(call, Outcome.OK, gate.now, Role.REPLICA);
         for (int i = 0; i < 1000; i++) {
             String id = "new" + i;
-            gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.up(id, false)));
-            gate.batch(() -> gate.router.probed(gate.member(id), Outcome.OK, MS, Report.NONE));
+            gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.up(id, false)));
+            gate.batch(() -> gate.router.probeEnded(gate.member(id), Outcome.OK, MS, LoadReport.NONE));
             assertEquals(1, gate.arrive(ANY, 0).callOuts.stream().filter(c -> c.member.id.equals(id)).count());
             gate.answer(gate.out.get(0), Outcome.OK, gate.now, Role.REPLICA);
-            gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.entry(id, gone, false, 0)));
+            gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.entry(id, gone, false, 0)));
             gate.pass(100);
         }
         assertTrue(gate.members.size() < 50, "those of the last seconds, for rule 4");
         gate.pass(5000);
-        gate.batch(() -> gate.list(Listed.ListKind.CHANGES));
+        gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES));
         assertEquals(0, gate.members.size());
-        gate.batch(() -> gate.list(Listed.ListKind.FULL, gate.up("r1", false)));
+        gate.batch(() -> gate.list(ListedMember.ListKind.FULL, gate.up("r1", false)));
         assertEquals("r1", gate.last(gate.arrive(ANY, 0)).member.id, "named again it serves");
     }
 
     /** A list names an old primary for a while: a session's read there, with no replica left, was a stale one. */
     @Test void onlyAPrimaryThatSaidSoReadsForABound() {
-        gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.entry("r1", Listed.Phase.GONE, false, 0),
-                gate.entry("r2", Listed.Phase.GONE, false, 0)));
+        gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.entry("r1", ListedMember.Phase.GONE, false, 0),
+                gate.entry("r2", ListedMember.Phase.GONE, false, 0)));
         assertEquals(0, gate.arrive(SESSION, 10 * MS).callOuts.size());
         CallOut any = gate.last(gate.arrive(ANY, 0));
         assertEquals("p", any.member.id);
@@ -164,7 +164,7 @@
         int lent = 0;
         for (int index = 0; index < 100; index++) {
             Gate gate = new Gate(true, true, probesTell, false, index, 100);
-            gate.batch(() -> gate.list(Listed.ListKind.REMEMBERED, gate.up("p", true), gate.up("r", false)));
+            gate.batch(() -> gate.list(ListedMember.ListKind.CACHED, gate.up("p", true), gate.up("r", false)));
             CallOut write = gate.last(gate.arrive(WRITE, 0));
             gate.pass(took);
             gate.answer(write, Outcome.OK, gate.now, said);
@@ -204,7 +204,7 @@
         int asked = 0;
         for (int index = 0; index < 100; index++) {
             Gate gate = new Gate(true, true, false, false, index, 100);
-            gate.batch(() -> gate.list(Listed.ListKind.REMEMBERED, gate.up("p", true), gate.up("r", false)));
+            gate.batch(() -> gate.list(ListedMember.ListKind.CACHED, gate.up("p", true), gate.up("r", false)));
             asked += gate.serve(ANY).id.equals("p") ? 1 : 0;
         }
         assertTrue(asked > 20 && asked < 80, "asked " + asked);
@@ -213,7 +213,7 @@
     /** Where only draining binds a list may call live members gone: they stay, but for one that is silent for long. */
     @Test void memberCalledGoneThatMayLiveIsKept() {
         Gate open = Gate.usual(true);
-        open.batch(() -> open.list(Listed.ListKind.FULL, open.up("p", true)));
+        open.batch(() -> open.list(ListedMember.ListKind.FULL, open.up("p", true)));
         assertEquals(3, open.members.size());
         assertNotEquals("p", open.serve(ANY).id);
     }
@@ -226,12 +226,12 @@
 
     @Test void withoutOverlapASilentCallOutIsCancelledBeforeTheNext() {
         Gate alone = new Gate(false, true, true, false);
-        alone.batch(() -> alone.list(Listed.ListKind.FULL, alone.up("r1", false), alone.up("r2", false)));
+        alone.batch(() -> alone.list(ListedMember.ListKind.FULL, alone.up("r1", false), alone.up("r2", false)));
         Rpc rpc = alone.arrive(ANY, 0);
         alone.pass(1000);
         assertEquals(1, rpc.callOuts.size());
         assertEquals(1, alone.cancelled.stream().distinct().count());
-        alone.answer(rpc.callOuts.get(0), Outcome.CANCELLED, Report.NO_POSITION, Role.UNKNOWN);
+        alone.answer(rpc.callOuts.get(0), Outcome.CANCELLED, LoadReport.NO_POSITION, Role.UNKNOWN);
         assertEquals(2, rpc.callOuts.size());
     }
 
@@ -244,7 +244,7 @@
             early += silent && i < 100 ? 1 : 0;
             late += silent && i >= 200 ? 1 : 0;
             gate.pass(100);
-            gate.probes.forEach(m -> gate.batch(() -> gate.router.probed(m, Outcome.OK, MS, Report.NONE)));
+            gate.probes.forEach(m -> gate.batch(() -> gate.router.probeEnded(m, Outcome.OK, MS, LoadReport.NONE)));
             gate.probes.clear();
             gate.out.stream().filter(c -> !c.member.id.equals("r1")).toList()
                     .forEach(c -> gate.answer(c, Outcome.OK, gate.now, Role.UNKNOWN));
@@ -256,7 +256,7 @@
     @Test void memberThatTurnsWorkAwayRests() {
         Rpc first = gate.arrive(ANY, 0);
         Member full = gate.last(first).member;
-        gate.answer(gate.last(first), Outcome.FULL, Report.NO_POSITION, Role.UNKNOWN);
+        gate.answer(gate.last(first), Outcome.FULL, LoadReport.NO_POSITION, Role.UNKNOWN);
         for (int i = 0; i < 6; i++) {
             assertNotEquals(full, gate.serve(ANY));
         }
@@ -266,7 +266,7 @@
     @Test void writeIsPushedBackAtOnceWhereItsPrimaryRestsBeyondIt() {
         for (int i = 0; i < 5; i++) {
             Rpc write = gate.arrive(ONCE, 0);
-            gate.answer(gate.last(write), Outcome.ERROR, Report.NO_POSITION, Role.PRIMARY);
+            gate.answer(gate.last(write), Outcome.ERROR, LoadReport.NO_POSITION, Role.PRIMARY);
             gate.pass(i < 4 ? 100 << i : 0);
         }
         Rpc inVain = gate.arrive(ONCE, 0);
@@ -282,7 +282,7 @@
     @Test void memberThatIsSlowAloneKeepsItsRoom() {
         for (int gateways : new int[] {2, 100}) {
             Gate one = new Gate(true, true, true, false, 0, gateways);
-            one.batch(() -> one.list(Listed.ListKind.FULL, one.up("p", true), one.up("r1", false)));
+            one.batch(() -> one.list(ListedMember.ListKind.FULL, one.up("p", true), one.up("r1", false)));
             for (int i = 0; i < 12; i++) {
                 Rpc read = one.arrive(ANY, 0);
                 one.pass(140);
@@ -317,7 +317,7 @@
     /** With many gateways a tenant's part came to less than one RPC, and every read counted as over it. */
     @Test void aSmallPartOfATenantsShareStillLetsAReadThrough() {
         Gate gate = new Gate(true, true, true, false, 0, 100);
-        gate.batch(() -> gate.list(Listed.ListKind.FULL, gate.up("p", true), gate.up("r1", false)));
+        gate.batch(() -> gate.list(ListedMember.ListKind.FULL, gate.up("p", true), gate.up("r1", false)));
         gate.pass(20_000);
         gate.arrive(BOUNDED, 0);
         assertFalse(gate.arrive(ANY, 0, false, "small").ended);
@@ -328,7 +328,7 @@
         gate.tellPosition("r2", 500);
         Rpc read = gate.arrive(ANY, 0);
         gate.arrive(BOUNDED, 0);
-        gate.answer(gate.last(read), Outcome.RESET, Report.NO_POSITION, Role.UNKNOWN);
+        gate.answer(gate.last(read), Outcome.RESET, LoadReport.NO_POSITION, Role.UNKNOWN);
         assertEquals(1, read.callOuts.size());
         assertTrue(gate.pushedBack.contains(read));
     }
@@ -337,11 +337,11 @@
     @Test void nothingIsSentThatTheClientWillNotWaitFor() {
         Rpc write = gate.arrive(WRITE, 0);
         while (!gate.out.isEmpty()) {
-            gate.answer(gate.out.get(0), Outcome.MISS, Report.NO_POSITION, Role.REPLICA);
+            gate.answer(gate.out.get(0), Outcome.MISS, LoadReport.NO_POSITION, Role.REPLICA);
         }
         gate.pass(1495);
         assertEquals(3, write.callOuts.size());
-        assertTrue(gate.pushedBack.contains(write) && gate.now < write.due);
+        assertTrue(gate.pushedBack.contains(write) && gate.now < write.deadline);
     }
 
     /** One RPC a window from each of a hundred gateways pushed a cold member over. */
@@ -349,8 +349,8 @@
         int sent = 0;
         for (int index = 0; index < 100; index++) {
             Gate one = new Gate(true, true, true, false, index, 100);
-            one.batch(() -> one.list(Listed.ListKind.FULL, one.up("p", true),
-                    one.entry("r1", Listed.Phase.UP, false, one.now)));
+            one.batch(() -> one.list(ListedMember.ListKind.FULL, one.up("p", true),
+                    one.entry("r1", ListedMember.Phase.UP, false, one.now)));
             for (int window = 0; window < 4; window++) {
                 one.arrive(ANY, 0);
                 one.pass(1000);
@@ -363,7 +363,7 @@
     /** While reports came late, every read probed again and found what the last one had found. */
     @Test void lateReportsAreProbedRarely() {
         Gate late = new Gate(true, false, true, false);
-        late.batch(() -> late.list(Listed.ListKind.FULL, late.up("p", true), late.up("r1", false)));
+        late.batch(() -> late.list(ListedMember.ListKind.FULL, late.up("p", true), late.up("r1", false)));
         for (int i = 0; i < 50; i++) {
             late.probes.forEach(m -> late.tellPosition(m.id, 2000));
             late.probes.clear();
@@ -377,8 +377,8 @@
     @Test void memberThatReportsManyCallsInFlightIsDrawnLess() {
         int busy = 0;
         for (int i = 0; i < 60; i++) {
-            gate.batch(() -> gate.router.probed(gate.member("r1"), Outcome.OK, MS,
-                    new Report(gate.now, Role.REPLICA, -1, -1, 20)));
+            gate.batch(() -> gate.router.probeEnded(gate.member("r1"), Outcome.OK, MS,
+                    new LoadReport(gate.now, Role.REPLICA, -1, -1, 20)));
             busy += gate.serve(ANY).id.equals("r1") ? 1 : 0;
         }
         assertTrue(busy > 0 && busy < 20, "busy one drawn " + busy);
@@ -388,8 +388,8 @@
     @Test void memberThatReportsBusyCoresIsLeftWhereItsLastAnswerIsOld() {
         gate.pass(2000);
         for (int i = 0; i < 20; i++) {
-            gate.batch(() -> gate.router.probed(gate.member("r1"), Outcome.OK, MS,
-                    new Report(gate.now, Role.REPLICA, 0, 1, 0)));
+            gate.batch(() -> gate.router.probeEnded(gate.member("r1"), Outcome.OK, MS,
+                    new LoadReport(gate.now, Role.REPLICA, 0, 1, 0)));
         }
         for (int i = 0; i < 8; i++) {
             assertEquals("r2", gate.serve(ANY).id);
@@ -397,15 +397,15 @@
     }
 
     @Test void memberListedInAnotherGroupServesThatOneOnly() {
-        gate.batch(() -> gate.list(Listed.ListKind.CHANGES,
-                new Listed(gate.member("r1"), "here", "std", 2, Listed.Phase.UP, false, 1, 0)));
+        gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES,
+                new ListedMember(gate.member("r1"), "here", "std", 2, ListedMember.Phase.UP, false, 1, 0)));
         for (int i = 0; i < 8; i++) {
             assertEquals("r2", gate.serve(ANY).id);
         }
     }
 
     @Test void drainingMemberGetsNothingNew() {
-        gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.entry("r1", Listed.Phase.DRAINING, false, 0)));
+        gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.entry("r1", ListedMember.Phase.DRAINING, false, 0)));
         for (int i = 0; i < 8; i++) {
             assertEquals("r2", gate.serve(ANY).id);
         }
@@ -415,9 +415,9 @@
     @Test void membersThatAListCallsGoneServeOnWhereOnlyDrainingBinds() {
         for (boolean onlyDraining : new boolean[] {false, true}) {
             Gate gate = usual(onlyDraining);
-            gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.entry("r1", Listed.Phase.GONE, false, 0)));
-            gate.batch(() -> gate.list(Listed.ListKind.FULL, gate.entry("p", Listed.Phase.DRAINING, true, 0)));
-            gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.entry("p", Listed.Phase.GONE, true, 0)));
+            gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.entry("r1", ListedMember.Phase.GONE, false, 0)));
+            gate.batch(() -> gate.list(ListedMember.ListKind.FULL, gate.entry("p", ListedMember.Phase.DRAINING, true, 0)));
+            gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.entry("p", ListedMember.Phase.GONE, true, 0)));
             assertEquals(onlyDraining, !gate.arrive(ANY, 0).callOuts.isEmpty());
             assertTrue(gate.arrive(WRITE, 0).callOuts.stream().noneMatch(c -> c.member.id.equals("p")));
         }
@@ -427,13 +427,13 @@
     @Test void primaryPutAsideComesBackByAWriteWhereNobodyReads() {
         gate.arrive(WRITE, 0);
         gate.pass(1500);
-        gate.batch(() -> gate.finish(gate.out.get(0), Outcome.CANCELLED, Report.NO_POSITION, Role.UNKNOWN));
+        gate.batch(() -> gate.finish(gate.out.get(0), Outcome.CANCELLED, LoadReport.NO_POSITION, Role.UNKNOWN));
         assertTrue(gate.did.stream().noneMatch(d -> d.contains("close idle")));
         for (int i = 0; i < 40 && gate.out.isEmpty(); i++) {
             gate.arrive(WRITE, 0);
             gate.pass(200);
             gate.probes.clear();
-            gate.batch(() -> gate.router.probed(gate.member("p"), Outcome.OK, MS, Report.NONE));
+            gate.batch(() -> gate.router.probeEnded(gate.member("p"), Outcome.OK, MS, LoadReport.NONE));
         }
         assertEquals("p", gate.out.get(0).member.id);
         assertEquals(1, gate.did.stream().filter(d -> d.endsWith("close idle p")).count(), "once, where it lasts");
@@ -444,24 +444,24 @@
     /** Writes waited for a primary that drained, though the group had its next one. */
     @Test void primaryThatDrainsLeadsNoMore() {
         gate.answer(gate.last(gate.arrive(WRITE, 0)), Outcome.OK, gate.now, Role.PRIMARY);
-        gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.entry("p", Listed.Phase.DRAINING, true, 0)));
+        gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.entry("p", ListedMember.Phase.DRAINING, true, 0)));
         CallOut tried = gate.last(gate.arrive(WRITE, 0));
         assertTrue(tried.member.id.startsWith("r"), "in turn, while none is known");
         gate.answer(tried, Outcome.MISS, gate.now, Role.REPLICA);
         String other = tried.member.id.equals("r1") ? "r2" : "r1";
-        gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.up(other, true)));
+        gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.up(other, true)));
         assertEquals(other, gate.last(gate.arrive(WRITE, 0)).member.id);
     }
 
     /** Guards a fresh read against a primary that was told to be none while the connection to it came up. */
     @Test void freshReadIsNotSentToWhatIsNoPrimaryAnyMore() {
-        gate.batch(() -> gate.router.probed(gate.member("p"), Outcome.OK, MS,
-                new Report(gate.now, Role.PRIMARY, -1, -1, -1)));
+        gate.batch(() -> gate.router.probeEnded(gate.member("p"), Outcome.OK, MS,
+                new LoadReport(gate.now, Role.PRIMARY, -1, -1, -1)));
         CallOut call = gate.last(gate.arrive(FRESH, 0));
-        call.waiting = true;
-        gate.batch(() -> gate.router.probed(gate.member("p"), Outcome.OK, MS,
-                new Report(gate.now, Role.REPLICA, -1, -1, -1)));
-        gate.batch(() -> gate.router.ready(call));
+        call.awaitingConnection = true;
+        gate.batch(() -> gate.router.probeEnded(gate.member("p"), Outcome.OK, MS,
+                new LoadReport(gate.now, Role.REPLICA, -1, -1, -1)));
+        gate.batch(() -> gate.router.connectionReady(call));
         assertTrue(gate.cancelled.contains(call));
     }
 
@@ -472,16 +472,16 @@
             gate.tellPosition("r1", 10);
             gate.tellPosition("r2", 10);
             CallOut call = gate.last(gate.arrive(i == 3 ? BOUNDED : ANY, 0));
-            call.waiting = true;
+            call.awaitingConnection = true;
             gate.pass(i == 3 ? 290 : 50);
             if (i == 1 || i == 2) {
-                gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.entry(call.member.id, Listed.Phase.DRAINING,
+                gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.entry(call.member.id, ListedMember.Phase.DRAINING,
                         false, 0)));
             }
             if (i == 2) {
-                gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.up(call.member.id, false)));
+                gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.up(call.member.id, false)));
             }
-            gate.batch(() -> gate.router.ready(call));
+            gate.batch(() -> gate.router.connectionReady(call));
             assertEquals(i == 0 || i == 2, gate.did.contains(gate.now + " go " + call.rpc.id), "case " + i);
             assertEquals(i == 1 || i == 3, gate.cancelled.contains(call), "case " + i);
         }
@@ -490,7 +490,7 @@
     /** A call-out that has not gone proves that it never ran: its RPC may be pushed back. */
     @Test void writeThatStillWaitsForItsConnectionIsPushedBack() {
         Rpc rpc = gate.arrive(WRITE, 0);
-        gate.last(rpc).waiting = true;
+        gate.last(rpc).awaitingConnection = true;
         gate.pass(1500);
         assertTrue(gate.pushedBack.contains(rpc) && gate.cancelled.contains(gate.last(rpc)));
     }
@@ -498,17 +498,17 @@
     @Test void rpcOfAnUnknownGroupOrMethodIsPushedBack() {
         Rpc stray = new Rpc(99, 42, null, gate.now + MS, false, 0, null, ANY);
         Rpc unknown = new Rpc(98, 1, null, gate.now + MS, false, 0, null, null);
-        gate.batch(() -> gate.router.arrived(stray));
-        gate.batch(() -> gate.router.arrived(unknown));
+        gate.batch(() -> gate.router.rpcArrived(stray));
+        gate.batch(() -> gate.router.rpcArrived(unknown));
         assertEquals(2, gate.pushedBack.size());
     }
 
     private static Gate quiet(int index, String... replicas) {
         Gate gate = new Gate(true, true, false, false, index, 100);
         gate.batch(() -> {
-            gate.list(Listed.ListKind.REMEMBERED, gate.up("p", true));
+            gate.list(ListedMember.ListKind.CACHED, gate.up("p", true));
             for (String id : replicas) {
-                gate.list(Listed.ListKind.CHANGES, gate.up(id, false));
+                gate.list(ListedMember.ListKind.CHANGES, gate.up(id, false));
             }
         });
         return gate;
@@ -537,7 +537,7 @@
             gate.pass(100);
             for (Member probed : java.util.List.copyOf(gate.probes)) {
                 gate.probes.remove(probed);
-                gate.batch(() -> gate.router.probed(probed, Outcome.OK, MS, Report.NONE));
+                gate.batch(() -> gate.router.probeEnded(probed, Outcome.OK, MS, LoadReport.NONE));
             }
             for (CallOut call : java.util.List.copyOf(gate.out)) {
                 if (gate.now - call.sentAt >= 500 * MS) { // later than its soft deadline
@@ -557,7 +557,7 @@
             CallOut call = gate.last(gate.arrive(ANY, 0));
             if (call.member.id.equals("p")) {
                 asked++;
-                gate.answer(call, Outcome.CANCELLED, Report.NO_POSITION, Role.UNKNOWN);
+                gate.answer(call, Outcome.CANCELLED, LoadReport.NO_POSITION, Role.UNKNOWN);
                 call = gate.last(call.rpc); // it goes on to the replica
             }
             gate.answer(call, Outcome.OK, gate.now, Role.UNKNOWN);
@@ -569,7 +569,7 @@
     /** The part of cold members fell with the answers while many were replaced, and what was unused lapsed. */
     @Test void coldPartGoesByTheBestThatWasAnsweredAndIsKept() {
         Gate gate = new Gate(true, true, false, false, 1, 10);
-        gate.batch(() -> gate.list(Listed.ListKind.REMEMBERED, gate.up("p", true), gate.up("r", false)));
+        gate.batch(() -> gate.list(ListedMember.ListKind.CACHED, gate.up("p", true), gate.up("r", false)));
         for (int i = 0; i < 400; i++) { // ten in a window at each
             gate.answer(gate.last(gate.arrive(i % 2 == 0 ? ANY : WRITE, 0)), Outcome.OK, gate.now, Role.UNKNOWN);
             gate.pass(50);
@@ -578,8 +578,8 @@
             gate.pass(1001);
             gate.batch(() -> { });
         }
-        gate.batch(() -> gate.list(Listed.ListKind.FULL, gate.up("p", true),
-                gate.entry("r", Listed.Phase.UP, false, gate.now / MS * MS)));
+        gate.batch(() -> gate.list(ListedMember.ListKind.FULL, gate.up("p", true),
+                gate.entry("r", ListedMember.Phase.UP, false, gate.now / MS * MS)));
         int sent = 0;
         for (int i = 0; i < 20; i++) {
             Rpc read = gate.arrive(ANY, 0);
@@ -599,7 +599,7 @@
         }
         for (long left : new long[] {20, 300}) {
             Rpc read = new Rpc(1000 + left, 1, "s", gate.now + left * MS, false, 0, null, ANY);
-            gate.batch(() -> gate.router.arrived(read));
+            gate.batch(() -> gate.router.rpcArrived(read));
             assertEquals(left == 300, !read.callOuts.isEmpty(), "left " + left);
         }
     }
@@ -608,14 +608,14 @@
     @Test void readsTryAPrimaryThatIsAsideOnlyWhereNobodyElseIsLeft() {
         for (boolean alone : new boolean[] {false, true}) {
             Gate gate = new Gate(true, true, false, false);
-            gate.batch(() -> gate.list(Listed.ListKind.REMEMBERED, gate.up("p", true)));
+            gate.batch(() -> gate.list(ListedMember.ListKind.CACHED, gate.up("p", true)));
             if (!alone) {
-                gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.up("r", false)));
+                gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.up("r", false)));
             }
             gate.arrive(WRITE, 0);
             gate.pass(1500);
-            gate.batch(() -> gate.finish(gate.out.get(0), Outcome.CANCELLED, Report.NO_POSITION, Role.UNKNOWN));
-            gate.batch(() -> gate.router.probed(gate.member("p"), Outcome.OK, MS, Report.NONE));
+            gate.batch(() -> gate.finish(gate.out.get(0), Outcome.CANCELLED, LoadReport.NO_POSITION, Role.UNKNOWN));
+            gate.batch(() -> gate.router.probeEnded(gate.member("p"), Outcome.OK, MS, LoadReport.NONE));
             assertEquals(alone ? "p" : "r", gate.last(gate.arrive(ANY, 0)).member.id);
         }
     }
@@ -623,7 +623,7 @@
     /** A member whose call-outs clients left before they ended drew as much as the others. */
     @Test void cancelledCallOutsTellThatAMemberIsSlow() {
         Gate gate = new Gate(true, true, false, false);
-        gate.batch(() -> gate.list(Listed.ListKind.REMEMBERED, gate.up("p", true), gate.up("r1", false),
+        gate.batch(() -> gate.list(ListedMember.ListKind.CACHED, gate.up("p", true), gate.up("r1", false),
                 gate.up("r2", false)));
         int slow = 0;
         for (int i = 0; i < 200; i++) {
@@ -665,7 +665,7 @@
         for (int index = 0; index < 100; index++) {
             Gate gate = new Gate(true, true, false, false, index, 100);
             long young = gate.now / MS * MS;
-            gate.batch(() -> gate.list(Listed.ListKind.REMEMBERED, gate.entry("p", Listed.Phase.UP, true, young),
+            gate.batch(() -> gate.list(ListedMember.ListKind.CACHED, gate.entry("p", ListedMember.Phase.UP, true, young),
                     gate.up("r", false)));
             for (int i = 0; i < 5; i++) { // half of one RPC at the most is left of the windows without a write
                 gate.pass(1001);
@@ -681,9 +681,9 @@
     @Test void coldPartOfAPrimaryGoesByPrimariesAndDoesNotPileUpWithoutEnd() {
         Gate gate = new Gate(true, true, false, false, 1, 10);
         gate.batch(() -> {
-            gate.list(Listed.ListKind.REMEMBERED, gate.up("p", true));
+            gate.list(ListedMember.ListKind.CACHED, gate.up("p", true));
             for (int i = 0; i < 7; i++) {
-                gate.list(Listed.ListKind.CHANGES, gate.up("r" + i, false));
+                gate.list(ListedMember.ListKind.CHANGES, gate.up("r" + i, false));
             }
         });
         for (int i = 0; i < 200; i++) { // twenty in a window, eighteen of them at the primary
@@ -691,7 +691,7 @@
             gate.pass(50);
         }
         long young = gate.now / MS * MS;
-        gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.entry("p", Listed.Phase.UP, true, young)));
+        gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.entry("p", ListedMember.Phase.UP, true, young)));
         gate.pass(1001); // what went to the process before
         int first = coldWrites(gate);
         assertTrue(first >= 4 && first <= 7, "a quarter of eighteen, and a little: " + first);
@@ -721,7 +721,7 @@
             int[] lent = new int[2];
             for (int index = 0; index < 200; index++) {
                 Gate gate = new Gate(true, true, false, false, index, 100);
-                gate.batch(() -> gate.list(Listed.ListKind.REMEMBERED, gate.up("r", false)));
+                gate.batch(() -> gate.list(ListedMember.ListKind.CACHED, gate.up("r", false)));
                 for (int i = 0; i < 20; i++) {
                     gate.answer(gate.last(gate.arrive(SESSION, 0)), Outcome.OK, gate.now - 10 * MS, Role.REPLICA);
                 }
@@ -730,7 +730,7 @@
                     gate.arrive(BOUNDED, 0); // no primary yet
                     gate.pass(101);
                 }
-                gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.up("p", true)));
+                gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.up("p", true)));
                 CallOut write = gate.last(gate.arrive(WRITE, 0));
                 gate.pass(took);
                 gate.answer(write, Outcome.OK, gate.now, Role.PRIMARY);
@@ -748,8 +748,8 @@
         least.add(7);
         assertTrue(least.mean(5) > 0);
         Gate gate = quiet(1, "r");
-        Method never = new Method("never", Method.Need.ANY, 0, 0, 1500 * MS, 1, 0, Method.Effect.IDEMPOTENT,
-                Method.Scope.ALL, 0);
+        Method never = new Method("never", Method.Consistency.ANY, 0, 0, 1500 * MS, 1, 0, Method.RetrySafety.IDEMPOTENT,
+                Method.DeduplicationScope.ALL, 0);
         for (int i = 0; i < 20; i++) {
             CallOut call = gate.last(gate.arrive(never, 0));
             gate.pass(5);
@@ -763,13 +763,13 @@
         Gate gate = quiet(1);
         for (int i = 0; i < 3; i++) {
             CallOut call = gate.last(gate.arrive(ANY, 0)); // alone it serves
-            gate.answer(call, Outcome.CANCELLED, Report.NO_POSITION, Role.UNKNOWN);
-            gate.batch(() -> gate.list(Listed.ListKind.CHANGES, gate.up("r", false)));
+            gate.answer(call, Outcome.CANCELLED, LoadReport.NO_POSITION, Role.UNKNOWN);
+            gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, gate.up("r", false)));
             boolean moves = i == 1;
             long start = gate.now / MS * MS - 20_000 * MS + i;
-            gate.batch(() -> gate.list(Listed.ListKind.CHANGES, moves
-                    ? new Listed(gate.member("p"), "here", "std", 2, Listed.Phase.UP, true, 1, 0)
-                    : gate.entry("p", Listed.Phase.UP, true, start)));
+            gate.batch(() -> gate.list(ListedMember.ListKind.CHANGES, moves
+                    ? new ListedMember(gate.member("p"), "here", "std", 2, ListedMember.Phase.UP, true, 1, 0)
+                    : gate.entry("p", ListedMember.Phase.UP, true, start)));
         }
     }
 }
--- a/src/test/java/reedquay/route/RulesTest.java
+++ b/src/test/java/reedquay/route/RulesTest.java
@@ -7,9 +7,9 @@
 import java.util.function.BiFunction;
 import org.junit.jupiter.api.Test;
 import reedquay.core.*;
-import reedquay.core.Method.Effect;
-import reedquay.core.Method.Need;
-import reedquay.core.Method.Scope;
+import reedquay.core.Method.RetrySafety;
+import reedquay.core.Method.Consistency;
+import reedquay.core.Method.DeduplicationScope;
 import reedquay.fair.Terms;
 import reedquay.fair.Turns;
 
@@ -40,13 +40,13 @@
         }
 
         World(long seed, boolean overlap, boolean onlyDraining, boolean probesTell,
-                BiFunction<Settings, Effects, Decider> maker) {
+                BiFunction<Settings, RoutingActions, RoutingEngine> maker) {
             super(overlap, true, probesTell, onlyDraining, 0, 2, maker);
             random = new SplittableRandom(seed);
             ids.forEach(id -> truth.put(member(id), now));
             excused.add(member("a"));
-            batch(() -> list(Listed.ListKind.REMEMBERED,
-                    ids.stream().map(id -> up(id, id.equals("a"))).toArray(Listed[]::new)));
+            batch(() -> list(ListedMember.ListKind.CACHED,
+                    ids.stream().map(id -> up(id, id.equals("a"))).toArray(ListedMember[]::new)));
         }
 
         void run(int steps) {
@@ -54,7 +54,7 @@
                 pass(random.nextInt(30));
                 move();
                 batch(this::events);
-                taken.forEach((rpc, at) -> assertTrue(rpc.ended || now <= rpc.due + 20 * MS, "rule 1: no answer"));
+                taken.forEach((rpc, at) -> assertTrue(rpc.ended || now <= rpc.deadline + 20 * MS, "rule 1: no answer"));
             }
             pass(2000);
             taken.keySet().forEach(rpc -> assertTrue(rpc.ended, "rule 1: lost"));
@@ -78,19 +78,19 @@
                 if (random.nextInt(3) == 0) {
                     long due = now + (50 + random.nextInt(1500)) * MS;
                     Rpc rpc = new Rpc(taken.size(), 1, "s", due, false, random.nextInt(600) * MS, null, m);
-                    rpc.caller = "c" + random.nextInt(callers);
+                    rpc.clientId = "c" + random.nextInt(callers);
                     taken.put(rpc, now);
-                    router.arrived(rpc);
+                    router.rpcArrived(rpc);
                 }
             }
             for (CallOut call : List.copyOf(dropped)) {
                 outcomes.put(call, Outcome.NEVER_SENT);
-                finish(call, Outcome.NEVER_SENT, Report.NO_POSITION, Role.UNKNOWN);
+                finish(call, Outcome.NEVER_SENT, LoadReport.NO_POSITION, Role.UNKNOWN);
             }
             dropped.clear();
             for (CallOut call : List.copyOf(waiting)) {
                 if (waiting.contains(call) && random.nextInt(4) == 0) {
-                    router.ready(call);
+                    router.connectionReady(call);
                     assertFalse(waiting.contains(call), "neither go nor cancel");
                 }
             }
@@ -98,7 +98,7 @@
                 if (waiting.contains(call) || dropped.contains(call)) {
                     continue;
                 }
-                if (random.nextInt(5) == 0 || now >= call.rpc.due) {
+                if (random.nextInt(5) == 0 || now >= call.rpc.deadline) {
                     end(call);
                 }
             }
@@ -106,9 +106,9 @@
                 probes.remove(m);
                 Role role = m.id.equals(primary) ? Role.PRIMARY : Role.REPLICA;
                 boolean back = random.nextInt(4) > 0;
-                boolean well = back && settings.positions().inProbes();
-                router.probed(m, back ? Outcome.OK : Outcome.TIMED_OUT, MS,
-                        well ? new Report(truth.get(m), role, -1, -1, -1) : Report.NONE);
+                boolean well = back && settings.positionSources().inProbes();
+                router.probeEnded(m, back ? Outcome.OK : Outcome.TIMED_OUT, MS,
+                        well ? new LoadReport(truth.get(m), role, -1, -1, -1) : LoadReport.NONE);
                 if (well && role == Role.PRIMARY) {
                     excused.add(m);
                 }
@@ -129,27 +129,27 @@
             Member m = member(id);
             int what = random.nextInt(5);
             if (what == 0 || what == 4) {
-                if (what == 0 || !settings.rules().onlyDrainingBinds()) {
+                if (what == 0 || !settings.rules().goneMembersStayUsable()) {
                     closed.putIfAbsent(m, now);
                 }
-                list(Listed.ListKind.CHANGES,
-                        entry(id, what == 0 ? Listed.Phase.DRAINING : Listed.Phase.GONE, false, 0));
+                list(ListedMember.ListKind.CHANGES,
+                        entry(id, what == 0 ? ListedMember.Phase.DRAINING : ListedMember.Phase.GONE, false, 0));
             } else {
                 closed.remove(m);
                 long start = what == 1 ? now - random.nextInt(3000) * MS : 0;
                 if (start != 0) {
                     started.merge(m, start, Math::max);
                 }
-                list(Listed.ListKind.CHANGES, entry(id, Listed.Phase.UP, false, start));
+                list(ListedMember.ListKind.CHANGES, entry(id, ListedMember.Phase.UP, false, start));
             }
         }
 
         private void end(CallOut call) {
             boolean leads = call.member.id.equals(primary);
-            Outcome[] can = call.rpc.method.need() == Need.WRITE && !leads
+            Outcome[] can = call.rpc.method.consistency() == Consistency.WRITE && !leads
                     ? new Outcome[] {Outcome.MISS, Outcome.RESET, Outcome.NO_CONNECTION}
                     : Outcome.values();
-            Outcome outcome = now >= call.rpc.due ? Outcome.TIMED_OUT
+            Outcome outcome = now >= call.rpc.deadline ? Outcome.TIMED_OUT
                     : random.nextInt(12) > 0 && (leads || can.length > 3) ? Outcome.OK
                     : can[random.nextInt(can.length)];
             outcomes.put(call, outcome);
@@ -165,7 +165,7 @@
                 its.removeIf(a -> a < now - 1000 * MS);
                 most = Math.max(most, its.size());
             }
-            finish(call, outcome, tells ? truth.get(call.member) : Report.NO_POSITION,
+            finish(call, outcome, tells ? truth.get(call.member) : LoadReport.NO_POSITION,
                     !tells ? Role.UNKNOWN : leads ? Role.PRIMARY : Role.REPLICA);
         }
 
@@ -176,30 +176,30 @@
             return !outcomes.containsKey(call) || !outcomes.get(call).provesNeverRan;
         }
 
-        @Override public void callOut(CallOut call, long limit) {
+        @Override public void sendCallOut(CallOut call, long limit) {
             Rpc rpc = call.rpc;
             List<CallOut> earlier = rpc.callOuts.subList(0, rpc.callOuts.size() - 1);
             assertFalse(rpc.ended, "rule 1: called out after the end");
-            assertTrue(settings.allowed().overlap() || earlier.stream().allMatch(outcomes::containsKey), "overlap");
-            assertTrue(rpc.callOuts.size() <= settings.allowed().callOuts(), "more than the cap");
-            super.callOut(call, limit);
+            assertTrue(settings.capabilities().hedging() || earlier.stream().allMatch(outcomes::containsKey), "overlap");
+            assertTrue(rpc.callOuts.size() <= settings.capabilities().maxCallOuts(), "more than the cap");
+            super.sendCallOut(call, limit);
             if (random.nextInt(5) == 0) {
-                call.waiting = waiting.add(call);
+                call.awaitingConnection = waiting.add(call);
             } else {
                 goes(call);
             }
         }
 
-        @Override public void go(CallOut call) {
+        @Override public void proceed(CallOut call) {
             assertTrue(waiting.remove(call), "went twice");
             assertEquals(now, call.sentAt);
             went++;
-            call.waiting = false;
+            call.awaitingConnection = false;
             goes(call);
         }
 
-        @Override public void forget(Member member) {
-            super.forget(member);
+        @Override public void forgetMember(Member member) {
+            super.forgetMember(member);
             truth.put(member(member.id), truth.get(member)); // named again it is the same machine
         }
 
@@ -217,15 +217,15 @@
             List<CallOut> others = rpc.callOuts.stream().filter(c -> c != call && sent.contains(c)).toList();
             OptionalLong ran = others.stream().filter(this::mayHaveRun).mapToLong(c -> c.sentAt).min();
             if (ran.isPresent()) {
-                Effect effect = rpc.method.effect();
-                assertNotEquals(Effect.NON_IDEMPOTENT, effect, "rule 2: twice");
-                assertTrue(effect != Effect.TOKENED || now < ran.getAsLong() + rpc.method.window(), "rule 2: window");
+                RetrySafety effect = rpc.method.retrySafety();
+                assertNotEquals(RetrySafety.NON_IDEMPOTENT, effect, "rule 2: twice");
+                assertTrue(effect != RetrySafety.TOKENED || now < ran.getAsLong() + rpc.method.deduplicationWindow(), "rule 2: window");
             }
             assertTrue(now < closed.getOrDefault(call.member, Long.MAX_VALUE - 500 * MS) + 500 * MS, "rule 3");
-            long need = switch (rpc.method.need()) {
+            long need = switch (rpc.method.consistency()) {
                 case WRITE, ANY -> Long.MIN_VALUE;
                 case FRESH -> taken.get(rpc);
-                case SESSION -> rpc.tokenAge == 0 ? Long.MIN_VALUE : taken.get(rpc) - rpc.tokenAge;
+                case SESSION -> rpc.sessionTokenAge == 0 ? Long.MIN_VALUE : taken.get(rpc) - rpc.sessionTokenAge;
                 case BOUNDED -> now - rpc.method.maxAge();
             };
             assertTrue(excused.contains(call.member) || truth.get(call.member) >= need, "rule 5: stale");
@@ -246,7 +246,7 @@
         @Override public void pushBack(Rpc rpc, long after) {
             assertFalse(rpc.ended, "rule 1: two answers");
             assertTrue(harmless(rpc), "rule 2: pushed back");
-            assertTrue(!asksWhy || router.why(rpc).contains("; "), "each member's state");
+            assertTrue(!asksWhy || router.explain(rpc).contains("; "), "each member's state");
             super.pushBack(rpc, after);
         }
 
@@ -257,7 +257,7 @@
         }
 
         private boolean harmless(Rpc rpc) {
-            return rpc.method.effect() == Effect.IDEMPOTENT || rpc.method.scope() == Scope.ALL
+            return rpc.method.retrySafety() == RetrySafety.IDEMPOTENT || rpc.method.deduplicationScope() == DeduplicationScope.ALL
                     || rpc.callOuts.stream().noneMatch(this::mayHaveRun);
         }
     }
@@ -280,9 +280,9 @@
     }
 
     /** A Router behind a door with hardly a place to wait; two can be inside at a time from the first sign on. */
-    private static Decider behindTheDoor(Settings settings, Effects effects) {
+    private static RoutingEngine behindTheDoor(Settings settings, RoutingActions effects) {
         Turns turns = new Turns(settings, new Terms(16, Map.of("others", 2.0)), effects);
-        return turns.before(new Router(settings, turns));
+        return turns.setNext(new Router(settings, turns));
     }
 
     /** The same world, rules and harmlessness of each pushback: what waits at the door has never run. */
@@ -293,7 +293,7 @@
             World world = new World(seed, seed % 2 == 0, seed % 3 == 0, true, RulesTest::behindTheDoor);
             world.callers = 1 + seed;
             world.run(600);
-            for (String[] row : ((Stage) world.router).show("tenants").subList(1, 3)) {
+            for (String[] row : ((Stage) world.router).statisticsTable("tenants").subList(1, 3)) {
                 waited += Integer.parseInt(row[3]);
                 back += Integer.parseInt(row[8]) + Integer.parseInt(row[9]) + Integer.parseInt(row[10]);
             }
--- a/src/test/java/reedquay/sim/WireTest.java
+++ b/src/test/java/reedquay/sim/WireTest.java
@@ -30,11 +30,11 @@
     }
 
     @Test void timesAreExact() {
-        assertEquals(8412_250_000L, Decimal.scaled("8412.25", 6));
-        assertEquals(-1_500_000L, Decimal.scaled("-1.5", 6));
-        assertEquals(359_012_475_819_001L, Decimal.scaled("359012475.819001", 6));
-        assertEquals(1_500_000L, Decimal.scaled("1.5E0", 6));
-        assertThrows(NumberFormatException.class, () -> Decimal.scaled("1x", 6));
+        assertEquals(8412_250_000L, Decimal.parseScaled("8412.25", 6));
+        assertEquals(-1_500_000L, Decimal.parseScaled("-1.5", 6));
+        assertEquals(359_012_475_819_001L, Decimal.parseScaled("359012475.819001", 6));
+        assertEquals(1_500_000L, Decimal.parseScaled("1.5E0", 6));
+        assertThrows(NumberFormatException.class, () -> Decimal.parseScaled("1x", 6));
         StringBuilder out = new StringBuilder();
         Fields.appendMillis(out, 500_250_000L);
         assertEquals("500.25", out.toString());
