--- a/src/main/java/reedquay/core/CallOut.java
+++ b/src/main/java/reedquay/core/CallOut.java
@@ -1,15 +1,19 @@
 package reedquay.core;
 
-/** One sending of an RPC to a member. */
+/** A call-out: one attempt of the gateway to have an RPC answered by a member. */
 public final class CallOut {
     public final Rpc rpc;
     public final Member member;
-    /** When it went; set anew where it had to wait for its connection. */
+    /** When it was sent, in nanoseconds; updated when it goes out after waiting for a connection. */
     public long sentAt;
+    /** Whether its outcome is known. */
     public boolean ended;
-    /** Set by the front while it still waits for its connection: it has not gone, and cannot but by go. */
+    /**
+     * Set by the front while the call-out waits for a connection: it has not been sent, and will not be without
+     * {@link RoutingActions#proceed}.
+     */
     public boolean awaitingConnection;
-    /** What the front keeps about it; nobody else reads it. */
+    /** The front's own state of this call-out; only the front reads it. */
     public Object frontState;
 
     public CallOut(Rpc rpc, Member member, long sentAt) {
--- a/src/main/java/reedquay/core/Decimal.java
+++ b/src/main/java/reedquay/core/Decimal.java
@@ -3,11 +3,14 @@
 import java.math.BigDecimal;
 import java.math.RoundingMode;
 
-/** Decimal texts as whole numbers. */
+/** Parses decimal numbers to scaled integers. */
 public final class Decimal {
     private Decimal() { }
 
-    /** A decimal text as a whole number of its 10^-digits parts, without a detour through doubles. */
+    /**
+     * Parses a decimal number to an integer count of units of 10^-digits, rounded towards zero and without the rounding
+     * errors of a double. Throws NumberFormatException, or ArithmeticException if the result exceeds a long.
+     */
     public static long parseScaled(String text, int digits) {
         int dot = text.indexOf('.');
         int end = text.length();
--- a/src/main/java/reedquay/core/Latency.java
+++ b/src/main/java/reedquay/core/Latency.java
@@ -2,50 +2,52 @@
 
 import java.util.Arrays;
 
-/** Latencies in a few bins, each twice as wide as the one before, halved from time to time. */
+/** A latency histogram with bins of doubling width, in which earlier samples lose weight exponentially. */
 public final class Latency {
     private static final int BINS = 8;
-    private final int[] counts = new int[BINS];
+    private final int[] weights = new int[BINS];
     private final long unit;
-    private final int most;
-    private int total;
+    private final int sampleLimit;
+    private int totalWeight;
 
+    /** unit: the upper end of the first bin, in nanoseconds. */
     public Latency(long unit) { this(unit, 32); }
 
-    /** samples: after so many more the earlier ones count half. */
-    public Latency(long unit, int samples) {
-        this.unit = Math.max(1, unit); // guards against a soft deadline of nought
-        this.most = 2 * samples;
+    /** halvingSamples: the number of further samples after which earlier ones count half. */
+    public Latency(long unit, int halvingSamples) {
+        this.unit = Math.max(1, unit); // prevents a division by zero, which happens with a soft deadline of zero
+        this.sampleLimit = 2 * halvingSamples;
     }
 
+    /** Adds a sample in nanoseconds. */
     public void add(long took) {
         int bits = Long.SIZE - Long.numberOfLeadingZeros(Math.max(0, took - 1) / unit);
-        counts[Math.min(BINS - 1, bits)] += 2;
-        total += 2;
-        if (total >= most) {
-            Arrays.setAll(counts, i -> counts[i] / 2);
-            total = Arrays.stream(counts).sum();
+        weights[Math.min(BINS - 1, bits)] += 2;
+        totalWeight += 2;
+        if (totalWeight >= sampleLimit) {
+            Arrays.setAll(weights, i -> weights[i] / 2);
+            totalWeight = Arrays.stream(weights).sum();
         }
     }
 
-    /** The mean, with one sample of what to assume while nothing has been seen. */
-    public long mean(long assumed) {
-        long sum = assumed;
+    /** The mean, with the default value counted as half a sample, so that it is the mean of an empty histogram. */
+    public long mean(long defaultValue) {
+        long sum = defaultValue;
         for (int i = 0; i < BINS; i++) {
-            sum += counts[i] * ((unit << i) * 3 / 4);
+            sum += weights[i] * ((unit << i) * 3 / 4);
         }
-        return sum / (total + 1);
+        return sum / (totalWeight + 1);
     }
 
-    /** The upper end of the bin that holds the given share of what was seen. */
-    public long quantile(double share, long assumed) {
-        int left = (int) Math.ceil(total * share);
-        for (int i = 0; i < BINS && total > 0; i++) {
-            left -= counts[i];
-            if (left <= 0) {
+    /** The upper end of the bin below which the given fraction of the samples lies; the default value for none. */
+    public long quantile(double fraction, long defaultValue) {
+        int remaining = (int) Math.ceil(totalWeight * fraction);
+        for (int i = 0; i < BINS && totalWeight > 0; i++) {
+            remaining -= weights[i];
+            if (remaining <= 0) {
                 return unit << i;
             }
         }
-        return assumed;
+        return defaultValue;
     }
 }
--- a/src/main/java/reedquay/core/LoadReportParser.java
+++ b/src/main/java/reedquay/core/LoadReportParser.java
@@ -1,46 +1,46 @@
 package reedquay.core;
 
-/** Turns the numbers that members tell into positions and load reports, the same for all fronts. */
+/** Parses the positions and load reports that members send; used by all fronts. */
 public final class LoadReportParser {
     private final String[] names;
-    private final long zero;
+    private final long epoch;
 
-    LoadReportParser(String[] names, long zero) {
+    LoadReportParser(String[] names, long epoch) {
         this.names = names;
-        this.zero = zero;
+        this.epoch = epoch;
     }
 
-    /** A position in milliseconds: told rounded down, but a commit, which is rounded up. */
+    /** A position from its milliseconds since the epoch. Members round it down, but that of a commit up. */
     public long position(long millis, boolean commit) {
-        return zero + (commit ? millis - 1 : millis) * 1_000_000;
+        return epoch + (commit ? millis - 1 : millis) * 1_000_000;
     }
 
-    /** Values in the order that the settings name them. Throws NumberFormatException. */
+    /** Parses values in the order in which the settings name them. Throws NumberFormatException. */
     public LoadReport parseOrdered(String[] values) {
         if (values.length > names.length) {
             throw new NumberFormatException("more values than names");
         }
-        return read(names, values);
+        return parse(names, values);
     }
 
-    /** Pairs name=value set apart by commas. Throws NumberFormatException. */
+    /** Parses comma-separated pairs name=value. Throws NumberFormatException. */
     public LoadReport parsePairs(String pairs) {
         String[] parts = pairs.isEmpty() ? new String[0] : pairs.split(",");
         String[] keys = new String[parts.length];
         String[] values = new String[parts.length];
         for (int i = 0; i < parts.length; i++) {
-            int eq = parts[i].indexOf('=');
-            keys[i] = eq < 0 ? parts[i] : parts[i].substring(0, eq);
-            values[i] = eq < 0 ? "" : parts[i].substring(eq + 1);
+            int equals = parts[i].indexOf('=');
+            keys[i] = equals < 0 ? parts[i] : parts[i].substring(0, equals);
+            values[i] = equals < 0 ? "" : parts[i].substring(equals + 1);
         }
-        return read(keys, values);
+        return parse(keys, values);
     }
 
-    private LoadReport read(String[] keys, String[] values) {
+    private LoadReport parse(String[] keys, String[] values) {
         long position = LoadReport.NO_POSITION;
         Role role = Role.UNKNOWN;
-        double queue = -1;
-        double busy = -1;
+        double queueLength = -1;
+        double cpuUtilization = -1;
         double inFlight = -1;
         for (int i = 0; i < values.length; i++) {
             if (values[i].isEmpty() || values[i].equals("-")) {
@@ -48,14 +48,14 @@
             }
             long value = Decimal.parseScaled(values[i], 9);
             switch (keys[i]) {
-                case "x0" -> position = zero + value;
+                case "x0" -> position = epoch + value;
                 case "x1" -> role = value >= 500_000_000 ? Role.PRIMARY : Role.REPLICA;
-                case "waiting" -> queue = value / 1e9;
-                case "cpu" -> busy = value / 1e9;
+                case "waiting" -> queueLength = value / 1e9;
+                case "cpu" -> cpuUtilization = value / 1e9;
                 case "active" -> inFlight = value / 1e9;
                 default -> { }
             }
         }
-        return new LoadReport(position, role, queue, busy, inFlight);
+        return new LoadReport(position, role, queueLength, cpuUtilization, inFlight);
     }
 }
--- a/src/main/java/reedquay/core/Member.java
+++ b/src/main/java/reedquay/core/Member.java
@@ -1,11 +1,11 @@
 package reedquay.core;
 
-/** A database server as the door knows it; the same object for as long as an instance runs. */
+/** A member: a database server behind the gateway; the same object until the engine forgets it. */
 public final class Member {
     public final String id;
-    /** What the decisions keep about it; nobody else reads it. */
+    /** The routing engine's own state of this member; only the engine reads it. */
     public Object routingState;
-    /** What the front keeps about it; nobody else reads it. */
+    /** The front's own state of this member; only the front reads it. */
     public Object frontState;
 
     public Member(String id) {
--- a/src/main/java/reedquay/core/Method.java
+++ b/src/main/java/reedquay/core/Method.java
@@ -1,14 +1,18 @@
 package reedquay.core;
 
-/** One method of RPC as the settings describe it; times in nanoseconds. */
-public record Method(String name, Consistency consistency, long maxAge, long softDeadline, long deadline, double utility,
-        double lateUtilityShare, RetrySafety retrySafety, DeduplicationScope deduplicationScope, long deduplicationWindow) {
-    /** How recent the data must be. */
+/**
+ * A method of RPCs as the settings describe it; times in nanoseconds. maxAge: the greatest age of the data for a
+ * bounded read; lateUtilityShare: the part of the utility that an answer has after the soft deadline.
+ */
+public record Method(String name, Consistency consistency, long maxAge, long softDeadline, long deadline,
+        double utility, double lateUtilityShare, RetrySafety retrySafety, DeduplicationScope deduplicationScope,
+        long deduplicationWindow) {
+    /** The consistency that a method needs: a write, or how recent the data of a read must be. */
     public enum Consistency { WRITE, FRESH, SESSION, BOUNDED, ANY }
 
-    /** What a second run of the same RPC would do. */
+    /** Whether a second run of the same RPC is harmless; tokened: repeats are dropped by a token within a time. */
     public enum RetrySafety { IDEMPOTENT, TOKENED, NON_IDEMPOTENT }
 
-    /** Where repeats of a tokened RPC are dropped. */
+    /** Among which members repeats of a tokened RPC are dropped. */
     public enum DeduplicationScope { ALL, ZONE, GROUP }
 }
--- a/src/main/java/reedquay/core/Outcome.java
+++ b/src/main/java/reedquay/core/Outcome.java
@@ -1,14 +1,18 @@
 package reedquay.core;
 
-/** How a call-out or a probe ended, and whether that proves that it never ran. */
+/**
+ * The outcome of a call-out or a probe. FULL: the member rejected it for want of capacity; MISS: the member is not the
+ * primary or lags too far. The names are written out in counters and trace lines.
+ */
 public enum Outcome {
     OK(false), ERROR(false), FULL(true), TIMED_OUT(false), NO_CONNECTION(true), RESET(false),
     CANCELLED(false), NEVER_SENT(true), MISS(true),
-    /** An answer came that cannot be read. */
+    /** The answer was malformed. */
     SPOILT(false),
-    /** A connection kept from an earlier statement broke under this one. */
+    /** A pooled connection, idle since an earlier statement, broke during this one. */
     STALE(false);
 
+    /** Whether this outcome proves that the member did not run the RPC. */
     public final boolean provesNeverRan;
 
     Outcome(boolean provesNeverRan) {
--- a/src/main/java/reedquay/core/Role.java
+++ b/src/main/java/reedquay/core/Role.java
@@ -1,4 +1,4 @@
 package reedquay.core;
 
-/** What a member says it is. */
+/** The role that a member reports. The names appear in trace lines. */
 public enum Role { UNKNOWN, PRIMARY, REPLICA }
--- a/src/main/java/reedquay/core/RoutingActions.java
+++ b/src/main/java/reedquay/core/RoutingActions.java
@@ -1,31 +1,37 @@
 package reedquay.core;
 
-/** What the decisions can bring about; carried out in the order of the calls. */
+/** The actions that a routing engine can take; the front carries them out in the order of the calls. */
 public interface RoutingActions {
-    /** The call-out has been added to its RPC's list; limit counts from now. */
-    void sendCallOut(CallOut callOut, long limit);
+    /** Sends a call-out, already added to its RPC's list; timeout: nanoseconds from now, 0 for the RPC's deadline. */
+    void sendCallOut(CallOut callOut, long timeout);
 
-    /** What ready asked about goes out now. */
+    /** Sends the call-out whose connection was reported ready. */
     void proceed(CallOut callOut);
 
+    /** Cancels a call-out; its outcome is reported nevertheless. */
     void cancel(CallOut callOut);
 
-    /** after: when to come back, 0 for no advice. */
-    void pushBack(Rpc rpc, long after);
+    /** Answers an RPC with a pushback; retryAfter: nanoseconds until the client may retry, 0 for no advice. */
+    void pushBack(Rpc rpc, long retryAfter);
 
+    /** Answers an RPC with an abort: it failed and may have run. */
     void abort(Rpc rpc);
 
+    /** Sends a probe to a member. */
     void probe(Member member);
 
-    /** Connections to the member that carry nothing now are not to be used again. */
+    /** Closes the idle connections to a member, so that they are not used again. */
     void closeIdleConnections(Member member);
 
-    /** The member is gone and nothing is out there: nothing of it is kept; named again it is a new one. */
+    /** Drops all state of a member that is gone and has nothing in flight; if listed again, it is a new member. */
     void forgetMember(Member member);
 
+    /** Has an empty batch run after so many nanoseconds; replaces an earlier wake-up. */
     void scheduleWakeUp(long delay);
 
+    /** Requests the member list, where it does not come by itself. */
     void requestMemberList();
 
+    /** Writes a line to the log. */
     void log(String line);
 }
--- a/src/main/java/reedquay/core/Rpc.java
+++ b/src/main/java/reedquay/core/Rpc.java
@@ -3,30 +3,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An RPC taken from a client, and the call-outs made for it in their order. */
+/** An RPC of a client, with its call-outs in their order. */
 public final class Rpc {
     public final long id;
     public final int group;
     public final String session;
-    /** When its client gives up, or a stop of this gateway that comes before; set by the front alone. */
+    /** When its client gives up, or an earlier shutdown of this gateway, in nanoseconds; only the front sets it. */
     public long deadline;
-    /** A client's further try; a stage takes the mark off one that it told to come. */
+    /** Whether it is a client's retry; a stage clears this for a retry at the time that it gave the client. */
     public boolean retry;
-    /** Age of the session's last write at arrival; 0 where there is none. */
+    /** The age of the session's last write at arrival, by the token sent, in nanoseconds; 0 where there is none. */
     public final long sessionTokenAge;
     public final String tenant;
-    /** Null where the settings do not know the method. */
+    /** Null where the settings do not name the method. */
     public final Method method;
     public final List<CallOut> callOuts = new ArrayList<>(2);
-    /** Who calls, as the front tells clients apart; null where nothing but the tenant is known. */
+    /** Identifies the client, by what the front tells clients apart; null where only the tenant is known. */
     public String clientId;
-    /** What a stage before the decisions keeps about it; nobody else reads it. */
+    /** The own state of a stage before the engine; only that stage reads it. */
     public Object filterState;
-    /** The final answer has gone out, or the client has left. */
+    /** Whether the final answer has been given, or the client has left. */
     public boolean ended;
-    /** What the decisions keep about it; nobody else reads it. */
+    /** The routing engine's own state of this RPC; only the engine reads it. */
     public Object routingState;
-    /** What the front keeps about it; nobody else reads it. */
+    /** The front's own state of this RPC; only the front reads it. */
     public Object frontState;
 
     public Rpc(long id, int group, String session, long deadline, boolean retry, long sessionTokenAge, String tenant,
--- a/src/main/java/reedquay/core/Settings.java
+++ b/src/main/java/reedquay/core/Settings.java
@@ -2,21 +2,33 @@
 
 import java.util.List;
 
-/** What an instance is told at its start; times in nanoseconds, prices as shares of utility. */
+/** The settings of a gateway instance, fixed at its start; times in nanoseconds, costs as parts of the utility. */
 public record Settings(long seed, String zone, int gatewayIndex, int gatewayCount, long tick, List<Method> methods,
         List<Tenant> tenants, Capabilities capabilities, Rules rules, PositionSources positionSources, Costs costs) {
 
+    /** A tenant and its quota of RPCs for all gateways together. */
     public record Tenant(String name, double quotaPerSecond) { }
 
-    public record Capabilities(boolean probes, boolean peerMessages, boolean cancel, boolean hedging, boolean retryAfter,
-            long maxRetryAfter, int maxCallOuts, long connectTimeout, boolean memberListOnRequest) { }
+    /**
+     * What the gateway may do. hedging: send a call-out while an earlier one is in flight; maxCallOuts: for each RPC;
+     * memberListOnRequest: the member list comes on request instead of by itself.
+     */
+    public record Capabilities(boolean probes, boolean peerMessages, boolean cancel, boolean hedging,
+            boolean retryAfter, long maxRetryAfter, int maxCallOuts, long connectTimeout,
+            boolean memberListOnRequest) { }
 
-    public record Rules(double coldShare, long coldDuration, double coldCapacityMultiple, long coldWindow, long drainGrace,
-            long answerGrace, long memberListInterval, boolean goneMembersStayUsable) { }
+    /**
+     * The figures of the rules. A cold member's share of a warm one's capacity rises from coldShare to one within
+     * coldDuration; in each coldWindow it gets at most coldCapacityMultiple times that. goneMembersStayUsable: a member
+     * that is listed as gone is used on, unless it was listed as draining.
+     */
+    public record Rules(double coldShare, long coldDuration, double coldCapacityMultiple, long coldWindow,
+            long drainGrace, long answerGrace, long memberListInterval, boolean goneMembersStayUsable) { }
 
-    /** Where positions come from, and whether members turn away reads they are too far behind for. */
+    /** Where positions come from, who keeps session tokens, and whether members reject reads if they lag too far. */
     public record PositionSources(boolean inAnswers, boolean inAnswerReports, boolean inProbes,
             boolean gatewayRemembersTokens, boolean membersRejectStaleReads) { }
 
+    /** The deductions from utility. */
     public record Costs(double crossZone, double wastedWork, double probe, double peerMessage, double lateFailure) { }
 }
--- a/src/main/java/reedquay/core/Stage.java
+++ b/src/main/java/reedquay/core/Stage.java
@@ -4,32 +4,32 @@
 import java.util.Map;
 
 /**
- * What stands between a front and the decisions: a Decider to the one, Effects to the other. By itself it passes
- * everything on; a stage that has something to decide overrides what it needs. Stages can be chained.
+ * A stage of the pipeline between a front and the routing engine: a RoutingEngine to the front, RoutingActions to the
+ * engine. It passes on every call; a subclass overrides those that it takes part in. Stages can be chained.
  */
 public abstract class Stage implements RoutingEngine, RoutingActions {
     protected final RoutingActions actions;
     protected RoutingEngine next;
 
-    protected Stage(RoutingActions outer) {
-        this.actions = outer;
+    protected Stage(RoutingActions actions) {
+        this.actions = actions;
     }
 
-    /** What it stands before; told once, before the first input. */
-    public Stage setNext(RoutingEngine decider) {
-        next = decider;
+    /** Sets the next stage or the engine; called once, before the first input. */
+    public Stage setNext(RoutingEngine engine) {
+        next = engine;
         return this;
     }
 
-    /** The tables that an operator can ask for by name, each with its column names first; null for others. */
-    public List<String[]> statisticsTable(String what) {
-        return next instanceof Stage filter ? filter.statisticsTable(what) : null;
+    /** A table of statistics by its name, the column names as its first row; null if no stage has one of that name. */
+    public List<String[]> statisticsTable(String name) {
+        return next instanceof Stage filter ? filter.statisticsTable(name) : null;
     }
 
-    /** Adds what it has counted, by names that begin with its own. */
-    public void addCounters(Map<String, Long> all) {
+    /** Adds the counters of this stage and the next ones; the names begin with the stage's own. */
+    public void addCounters(Map<String, Long> counters) {
         if (next instanceof Stage filter) {
-            filter.addCounters(all);
+            filter.addCounters(counters);
         }
     }
 
@@ -45,8 +45,8 @@
         next.rpcArrived(rpc);
     }
 
-    @Override public void callOutEnded(CallOut callOut, Outcome outcome, long took, boolean ended, long position, Role role,
-            LoadReport report) {
+    @Override public void callOutEnded(CallOut callOut, Outcome outcome, long took, boolean ended, long position,
+            Role role, LoadReport report) {
         next.callOutEnded(callOut, outcome, took, ended, position, role, report);
     }
 
@@ -74,8 +74,8 @@
         next.endBatch();
     }
 
-    @Override public void sendCallOut(CallOut callOut, long limit) {
-        actions.sendCallOut(callOut, limit);
+    @Override public void sendCallOut(CallOut callOut, long timeout) {
+        actions.sendCallOut(callOut, timeout);
     }
 
     @Override public void proceed(CallOut callOut) {
@@ -86,8 +86,8 @@
         actions.cancel(callOut);
     }
 
-    @Override public void pushBack(Rpc rpc, long after) {
-        actions.pushBack(rpc, after);
+    @Override public void pushBack(Rpc rpc, long retryAfter) {
+        actions.pushBack(rpc, retryAfter);
     }
 
     @Override public void abort(Rpc rpc) {
--- a/src/main/java/reedquay/core/SuccessRate.java
+++ b/src/main/java/reedquay/core/SuccessRate.java
@@ -1,20 +1,22 @@
 package reedquay.core;
 
-/** How many of what was asked came to something; both halved from time to time. */
+/** A success rate over recent attempts; attempts and successes are halved every so many attempts. */
 public final class SuccessRate {
-    private static final int MOST = 64;
+    private static final int HALVING_ATTEMPTS = 64;
     private int attempts, successes;
 
+    /** Counts an attempt. */
     public void recordAttempt() {
         attempts++;
-        if (attempts >= MOST) {
+        if (attempts >= HALVING_ATTEMPTS) {
             attempts /= 2;
             successes /= 2;
         }
     }
 
+    /** Counts the success of an attempt. */
     public void recordSuccess() { successes++; }
 
-    /** With one sample of all well while nothing has been seen. */
+    /** The rate, 0 to 1, with one successful attempt added, so that it is 1 before the first attempt. */
     public double rate() { return (successes + 1.0) / (attempts + 1); }
 }
