--- a/lab/src/main/java/reedquay/lab/Fleets.java
+++ b/lab/src/main/java/reedquay/lab/FleetCommand.java
@@ -14,7 +14,7 @@
 /** What each method has in a fleet of quiet gateways, by drawn mixes or odd ones; exits with 1 for broken rules. */
 @Command(name = "fleet", mixinStandardHelpOptions = true,
         description = "Many quiet gateways before the same members, the rules checked; simulated time.")
-final class Fleets implements Callable<Integer> {
+final class FleetCommand implements Callable<Integer> {
     @Option(names = "--from", defaultValue = "0", description = "the first seed; default ${DEFAULT-VALUE}")
     private long from;
     @Option(names = "--seeds", defaultValue = "12", description = "how many; default ${DEFAULT-VALUE}")
--- a/lab/src/test/java/reedquay/lab/FleetTest.java
+++ b/lab/src/test/java/reedquay/lab/FleetTest.java
@@ -13,9 +13,9 @@
     @Test void noMethodIsShutOutWhateverTheMix() {
         for (long seed = 0; seed < 12; seed++) {
             Fleet fleet = Fleet.drawn(seed);
-            fleet.run(16, Fleets.load(seed), Fleets.usual(seed));
+            fleet.run(16, FleetCommand.load(seed), FleetCommand.usual(seed));
             assertEquals(Map.of(), fleet.broken(), "seed " + seed);
-            assertTrue(Fleets.least(fleet) > 0.5, "seed " + seed + ": " + Fleets.least(fleet));
+            assertTrue(FleetCommand.least(fleet) > 0.5, "seed " + seed + ": " + FleetCommand.least(fleet));
         }
     }
 
@@ -25,7 +25,7 @@
             Fleet fleet = new Fleet(7, Mix.odd(odd, new SplittableRandom(7)), 3, 6, 80, 80);
             fleet.run(6, 0.3, new Troubles(false, true, false));
             assertEquals(Map.of(), fleet.broken(), odd.name());
-            double least = Fleets.least(fleet);
+            double least = FleetCommand.least(fleet);
             assertTrue(least > (odd == Mix.Odd.BOUND_OF_NOUGHT ? 0.3 : 0.5), odd + ": " + least);
         }
     }
--- a/src/main/java/reedquay/Main.java
+++ b/src/main/java/reedquay/Main.java
@@ -41,7 +41,7 @@
 
     /** Serves the simulator's wire; ops: the operators' file, null for none. The exit status. */
     public static int simhost(String ops) throws IOException {
-        SimHost.Maker maker = null;
+        SimHost.RoutingEngineFactory maker = null;
         if (ops != null) {
             try {
                 maker = Fronts.maker(Path.of(ops));
--- a/src/main/java/reedquay/net/Discovery.java
+++ b/src/main/java/reedquay/net/DiscoveryClient.java
@@ -33,7 +33,7 @@
 import reedquay.members.Ledger.Told;
 
 /** Follows the list of members: reads what its sources tell and writes requests; members.Ledger decides. */
-final class Discovery implements Ledger.Effects {
+final class DiscoveryClient implements Ledger.Effects {
     private static final long BEAT = 2_000_000_000; // an empty line comes that often while nothing changes
     private static final int LONGEST_LINE = 4 << 20;
 
@@ -42,7 +42,7 @@
     private final EventLoop loop;
     private final Ledger ledger;
 
-    Discovery(Dispatcher door, Bootstrap bootstrap, EventLoop loop) {
+    DiscoveryClient(Dispatcher door, Bootstrap bootstrap, EventLoop loop) {
         this.door = door;
         this.bootstrap = bootstrap;
         this.loop = loop;
@@ -50,12 +50,12 @@
     }
 
     /** Whether discovery itself has told a list since the start. */
-    boolean told() {
+    boolean hasReceivedList() {
         return ledger.heard();
     }
 
     /** The list as this gateway last had it. */
-    void remembered(JsonObject known) {
+    void restore(JsonObject known) {
         now().remembered(read(known, true));
     }
 
@@ -64,7 +64,7 @@
         now().moveTo(where);
     }
 
-    void sweep() {
+    void closeSilentWatches() {
         now().sweep();
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** A row a source: address, state, generations told and in force, milliseconds since it was heard. */
-    List<String[]> rows() {
+    List<String[]> statusRows() {
         List<String[]> rows = now().rows();
         rows.forEach(r -> r[4] = Long.toString(Long.parseLong(r[4]) / 1_000_000));
         return rows;
--- a/src/main/java/reedquay/net/Gateway.java
+++ b/src/main/java/reedquay/net/Gateway.java
@@ -38,7 +38,7 @@
     private final Counters counters = new Counters();
     private final Limits limits;
     private final Dispatcher door;
-    private final Discovery discovery;
+    private final DiscoveryClient discovery;
     private final long idleFor;
     private final long sweepEvery;
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
@@ -72,7 +72,7 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis);
         door = new Dispatcher(loop, bootstrap, clock, limits, counters, configuration.settings(), configuration.seed(),
                 parts.deciderFactory());
-        discovery = new Discovery(door, bootstrap, loop);
+        discovery = new DiscoveryClient(door, bootstrap, loop);
         listFrom = configuration.discovery();
         long keepalive = configuration.settings().keepaliveTimeout();
         idleFor = keepalive > 0 ? keepalive / 2 : Long.MAX_VALUE / 2;
@@ -88,7 +88,7 @@
         CompletableFuture<InetSocketAddress> bound = new CompletableFuture<>();
         loop.execute(() -> {
             if (configuration.rememberedMembers() != null) {
-                discovery.remembered(configuration.rememberedMembers());
+                discovery.restore(configuration.rememberedMembers());
             }
             discovery.moveTo(configuration.discovery());
             sweep();
@@ -123,7 +123,7 @@
         long now = clock.now();
         clock.slewTowardsWallClock(sweepEvery / 1000);
         door.sweep(idleFor);
-        discovery.sweep();
+        discovery.closeSilentWatches();
         checkReady(now);
         lastSweepAt = now;
         int mayResume = limits.isMemoryFull() ? 0 : limits.remainingMessages(); // guards against all of them at once
@@ -139,7 +139,7 @@
 
     private void checkReady(long now) {
         boolean late = now - startedAt >= startupTimeout(door.settings());
-        if (!ready && (discovery.told() && door.outstandingProbes() == 0 || late)) {
+        if (!ready && (discovery.hasReceivedList() && door.outstandingProbes() == 0 || late)) {
             ready = true;
             waitingForReady.forEach(Runnable::run);
             waitingForReady.clear();
@@ -220,7 +220,7 @@
         if (!what.equals("discovery")) {
             return door.showTable(what);
         }
-        List<String[]> rows = new ArrayList<>(discovery.rows());
+        List<String[]> rows = new ArrayList<>(discovery.statusRows());
         rows.add(0, new String[] {"source", "state", "told", "in_force", "heard_ms_ago"});
         return rows;
     }
--- a/src/main/java/reedquay/ops/Fronts.java
+++ b/src/main/java/reedquay/ops/Fronts.java
@@ -11,7 +11,7 @@
     private Fronts() { }
 
     /** Throws IOException where the file can't be read, Unfit where something in it is not allowed. */
-    public static SimHost.Maker maker(Path file) throws IOException {
+    public static SimHost.RoutingEngineFactory maker(Path file) throws IOException {
         Operators operators = Operators.read(file);
         if (!operators.fair().enabled()) {
             return Router::new;
--- a/src/main/java/reedquay/sim/Gateway.java
+++ b/src/main/java/reedquay/sim/Gateway.java
@@ -35,7 +35,7 @@
     private final StringBuilder out = new StringBuilder();
 
     /** The line's rest is the settings. */
-    Gateway(long id, long seed, Fields line, SimHost.Maker maker) {
+    Gateway(long id, long seed, Fields line, SimHost.RoutingEngineFactory maker) {
         this.id = id;
         SettingsReader reader = new SettingsReader(line.pairs());
         Settings settings;
@@ -47,7 +47,7 @@
         }
         progressTold = settings.positionSources().inAnswers();
         settings.methods().forEach(m -> methods.put(m.name(), m));
-        decider = maker.make(settings, this);
+        decider = maker.create(settings, this);
     }
 
     void begin(long now) {
--- a/src/main/java/reedquay/sim/SimHost.java
+++ b/src/main/java/reedquay/sim/SimHost.java
@@ -22,11 +22,11 @@
 /** Reads batches of the simulator's wire, hands them to one Router an instance, and writes the replies. */
 public final class SimHost {
     /** Makes the decisions of one instance. */
-    public interface Maker {
-        RoutingEngine make(Settings settings, RoutingActions effects);
+    public interface RoutingEngineFactory {
+        RoutingEngine create(Settings settings, RoutingActions effects);
     }
 
-    private final Maker maker;
+    private final RoutingEngineFactory maker;
     private final TreeMap<Long, Gateway> gateways = new TreeMap<>();
     private final String[][] lists = new String[16][];
     private final Set<Gateway> touched = new LinkedHashSet<>();
@@ -34,7 +34,7 @@
     private long aboutId = -1;
     private long now;
 
-    public SimHost(Maker maker) {
+    public SimHost(RoutingEngineFactory maker) {
         this.maker = maker;
     }
 
@@ -44,7 +44,7 @@
     }
 
     /** The same with other decisions. */
-    public static int serve(Maker maker, InputStream in, OutputStream out, PrintStream err) throws IOException {
+    public static int serve(RoutingEngineFactory maker, InputStream in, OutputStream out, PrintStream err) throws IOException {
         SimHost host = new SimHost(maker);
         var reader = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         List<String> batch = new ArrayList<>();
