--- a/lab/src/main/java/reedquay/fair/DoorCost.java
+++ b/lab/src/main/java/reedquay/fair/DoorCost.java
@@ -108,7 +108,7 @@
             if (door.equals("NONE")) {
                 decider = new Straight(front);
             } else {
-                Turns turns = new Turns(settings, new Terms(1000, Map.of()), front);
+                AdmissionController turns = new AdmissionController(settings, new AdmissionSettings(1000, Map.of()), front);
                 decider = turns.setNext(new Straight(turns));
             }
             decider.beginBatch(now);
--- a/lab/src/main/java/reedquay/lab/Crowd.java
+++ b/lab/src/main/java/reedquay/lab/Crowd.java
@@ -10,8 +10,8 @@
 import reedquay.core.Settings;
 import reedquay.core.Stage;
 import reedquay.core.Rpc;
-import reedquay.fair.Terms;
-import reedquay.fair.Turns;
+import reedquay.fair.AdmissionSettings;
+import reedquay.fair.AdmissionController;
 import reedquay.lab.Street.Manner;
 import reedquay.lab.Street.Stream;
 import reedquay.route.Router;
@@ -61,7 +61,7 @@
             Settings told = before != Before.FIRST_COME ? settings : new Settings(settings.seed(), settings.zone(),
                     settings.gatewayIndex(), settings.gatewayCount(), settings.tick(), settings.methods(), List.of(),
                     settings.capabilities(), settings.rules(), settings.positionSources(), settings.costs());
-            Turns turns = new Turns(told, new Terms(waiting, Map.of()), effects);
+            AdmissionController turns = new AdmissionController(told, new AdmissionSettings(waiting, Map.of()), effects);
             Stage first = before == Before.CLIENTS ? turns : new Stage(turns) {
                 @Override public void rpcArrived(Rpc rpc) { // tells the door less than it could know
                     rpc.clientId = before == Before.FIRST_COME ? "all" : null;
--- a/lab/src/main/java/reedquay/lab/Lab.java
+++ b/lab/src/main/java/reedquay/lab/Lab.java
@@ -184,7 +184,7 @@
             System.out.println("| way | clients | light ones in time | the worst hundredth of them"
                     + " | the greedy one | bytes |\n| --- | --- | --- | --- | --- | --- |");
             for (int clients : new int[] {100, 10_000, 1_000_000}) {
-                Queueing.all(7).forEach((name, way) -> System.out.println(Queueing.line(name, way, clients, 1)));
+                QueueingDisciplines.all(7).forEach((name, way) -> System.out.println(QueueingDisciplines.tableRow(name, way, clients, 1)));
             }
             return 0;
         }
--- a/lab/src/main/java/reedquay/lab/Queueing.java
+++ b/lab/src/main/java/reedquay/lab/QueueingDisciplines.java
@@ -13,7 +13,7 @@
  * Ways to order who waits, on a plain model: one server, unit work, clients that each ask at an even pace and one that
  * asks for many times as much. Shows what each costs in memory and in fairness; the door's own code is not in it.
  */
-final class Queueing {
+final class QueueingDisciplines {
     /** A discipline: takes client ids, gives back whose turn it is. */
     interface Way {
         /** OK, AWAY where it is turned away, else the client whose last one gives its place up. */
@@ -31,7 +31,7 @@
     private static final int IN_TIME = 100; // steps
     private static final int MOST = 1000; // that may wait, the same for all
 
-    private Queueing() { }
+    private QueueingDisciplines() { }
 
     static Map<String, Way> all(long seed) {
         Map<String, Way> ways = new java.util.LinkedHashMap<>();
@@ -235,7 +235,7 @@
     }
 
     /** What is served in time of the requests: of the light clients, of their worst hundredth, of the greedy one. */
-    static String line(String name, Way way, int clients, long seed) {
+    static String tableRow(String name, Way way, int clients, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int steps = Math.max(400_000, 2 * clients);
         int[] asked = new int[clients + 1];
--- a/lab/src/test/java/reedquay/lab/CrowdTest.java
+++ b/lab/src/test/java/reedquay/lab/CrowdTest.java
@@ -125,7 +125,7 @@
             street.run(20_000);
             sound(street);
             assertEquals(callers, s.requests);
-            bytes[i] = ((reedquay.fair.Turns) street.decider()).bytes();
+            bytes[i] = ((reedquay.fair.AdmissionController) street.decider()).memoryBytes();
         }
         assertEquals(bytes[0], bytes[1]);
     }
--- a/src/main/java/reedquay/fair/Turns.java
+++ b/src/main/java/reedquay/fair/AdmissionController.java
@@ -31,35 +31,35 @@
  * never run, so that it may always be pushed back; what was let in is out of its hands. In this order: the table of an
  * RPC's way, the state, the inputs, the table's conditions and effects, room, what is shown.
  */
-public final class Turns extends Stage {
+public final class AdmissionController extends Stage {
     enum State { NEW, WAITING, INSIDE, LEFT }
 
     enum Input { ARRIVE, NEXT, LATE, CROWDED, ANSWERED, AWAY, GONE }
 
-    private record Row(State state, Input input, BiPredicate<Turns, Turn> when, State next,
-            BiConsumer<Turns, Turn> effect) { }
+    private record Row(State state, Input input, BiPredicate<AdmissionController, Turn> when, State next,
+            BiConsumer<AdmissionController, Turn> effect) { }
 
-    private static final BiPredicate<Turns, Turn> ALWAYS = (d, t) -> true;
-    private static final BiPredicate<Turns, Turn> ENDED = (d, t) -> t.rpc.ended;
-    private static final BiPredicate<Turns, Turn> UNKNOWN = (d, t) -> t.ways == null;
+    private static final BiPredicate<AdmissionController, Turn> ALWAYS = (d, t) -> true;
+    private static final BiPredicate<AdmissionController, Turn> ENDED = (d, t) -> t.rpc.ended;
+    private static final BiPredicate<AdmissionController, Turn> UNKNOWN = (d, t) -> t.ways == null;
 
     /** The way of an RPC: the first row whose state, input and condition hold is taken. */
     private static final Row[] TABLE = {
-        new Row(State.NEW, Input.ARRIVE, UNKNOWN, State.INSIDE, Turns::pass), // the Router says what to do
-        new Row(State.NEW, Input.ARRIVE, Turns::roomy, State.INSIDE, Turns::letIn),
-        new Row(State.NEW, Input.ARRIVE, Turns::asTold, State.WAITING, Turns::keep),
-        new Row(State.NEW, Input.ARRIVE, Turns::inTime, State.WAITING, Turns::queue),
-        new Row(State.NEW, Input.ARRIVE, ALWAYS, State.LEFT, Turns::turnAway),
-        new Row(State.WAITING, Input.NEXT, ENDED, State.LEFT, Turns::offWheel), // its client has left
-        new Row(State.WAITING, Input.LATE, ENDED, State.LEFT, Turns::drop),
-        new Row(State.WAITING, Input.CROWDED, ENDED, State.LEFT, Turns::drop),
-        new Row(State.WAITING, Input.NEXT, ALWAYS, State.INSIDE, Turns::letIn),
-        new Row(State.WAITING, Input.LATE, ALWAYS, State.LEFT, Turns::tooLate),
-        new Row(State.WAITING, Input.CROWDED, ALWAYS, State.LEFT, Turns::giveWay),
-        new Row(State.WAITING, Input.GONE, ALWAYS, State.LEFT, Turns::drop),
-        new Row(State.INSIDE, Input.ANSWERED, ALWAYS, State.LEFT, Turns::answered),
-        new Row(State.INSIDE, Input.AWAY, ALWAYS, State.LEFT, Turns::away),
-        new Row(State.INSIDE, Input.GONE, ALWAYS, State.LEFT, Turns::leave),
+        new Row(State.NEW, Input.ARRIVE, UNKNOWN, State.INSIDE, AdmissionController::pass), // the Router says what to do
+        new Row(State.NEW, Input.ARRIVE, AdmissionController::roomy, State.INSIDE, AdmissionController::letIn),
+        new Row(State.NEW, Input.ARRIVE, AdmissionController::asTold, State.WAITING, AdmissionController::keep),
+        new Row(State.NEW, Input.ARRIVE, AdmissionController::inTime, State.WAITING, AdmissionController::queue),
+        new Row(State.NEW, Input.ARRIVE, ALWAYS, State.LEFT, AdmissionController::turnAway),
+        new Row(State.WAITING, Input.NEXT, ENDED, State.LEFT, AdmissionController::offWheel), // its client has left
+        new Row(State.WAITING, Input.LATE, ENDED, State.LEFT, AdmissionController::drop),
+        new Row(State.WAITING, Input.CROWDED, ENDED, State.LEFT, AdmissionController::drop),
+        new Row(State.WAITING, Input.NEXT, ALWAYS, State.INSIDE, AdmissionController::letIn),
+        new Row(State.WAITING, Input.LATE, ALWAYS, State.LEFT, AdmissionController::tooLate),
+        new Row(State.WAITING, Input.CROWDED, ALWAYS, State.LEFT, AdmissionController::giveWay),
+        new Row(State.WAITING, Input.GONE, ALWAYS, State.LEFT, AdmissionController::drop),
+        new Row(State.INSIDE, Input.ANSWERED, ALWAYS, State.LEFT, AdmissionController::answered),
+        new Row(State.INSIDE, Input.AWAY, ALWAYS, State.LEFT, AdmissionController::away),
+        new Row(State.INSIDE, Input.GONE, ALWAYS, State.LEFT, AdmissionController::leave),
     };
 
     private void step(Turn turn, Input input) {
@@ -130,7 +130,7 @@
     private boolean marks; // clients have been seen to mark further tries
     private boolean freed;
 
-    public Turns(Settings settings, Terms terms, RoutingActions effects) {
+    public AdmissionController(Settings settings, AdmissionSettings terms, RoutingActions effects) {
         super(effects);
         this.settings = settings;
         tick = settings.tick();
@@ -149,16 +149,16 @@
         }
         tallies.add(new Tally("others", least == NEVER ? 1 : least)); // whatever their number, they weigh as one
         weight = new double[tallies.size()];
-        reweigh(terms.weights());
-        flows = new Flows(terms.waiting(), weight);
+        setWeights(terms.tenantWeights());
+        flows = new Flows(terms.maxWaiting(), weight);
         flows.quantum(brisk / 16);
-        promises = new Promises(Math.max(1, brisk / 8), longest, brisk / 8, terms.waiting());
+        promises = new Promises(Math.max(1, brisk / 8), longest, brisk / 8, terms.maxWaiting());
         reseed();
         before = first = hasher;
     }
 
     /** Takes on weights while it runs; tenants that are not named weigh what their share is in the settings. */
-    public void reweigh(Map<String, Double> weights) {
+    public void setWeights(Map<String, Double> weights) {
         double[] given = tallies.stream().mapToDouble(t -> weights.getOrDefault(t.name, t.share)).toArray();
         double least = Arrays.stream(given).min().orElse(1);
         Arrays.setAll(weight, i -> given[i] / least);
@@ -166,7 +166,7 @@
     }
 
     /** Bytes that it holds from its start on, whatever the number of callers. */
-    public long bytes() {
+    public long memoryBytes() {
         return flows.bytes() + promises.bytes() + 8L * wheel.length + HEAVIEST * 40L;
     }
 
--- a/src/main/java/reedquay/fair/Terms.java
+++ b/src/main/java/reedquay/fair/AdmissionSettings.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 
 /** What operators set: how many RPCs may wait, and weights of tenants that differ from the settings' shares. */
-public record Terms(int waiting, Map<String, Double> weights) {
+public record AdmissionSettings(int maxWaiting, Map<String, Double> tenantWeights) {
     /** Bytes that one waiting RPC takes here, its own message left out. */
-    public static final int BYTES = 260;
+    public static final int BYTES_PER_WAITING_RPC = 260;
 
-    public Terms {
-        weights = Map.copyOf(weights);
+    public AdmissionSettings {
+        tenantWeights = Map.copyOf(tenantWeights);
     }
 
     /** As many as fit into so many bytes. */
-    public static int within(long bytes) {
-        return (int) Math.max(16, Math.min(1 << 20, bytes / BYTES));
+    public static int maxWaitingWithin(long bytes) {
+        return (int) Math.max(16, Math.min(1 << 20, bytes / BYTES_PER_WAITING_RPC));
     }
 }
--- a/src/main/java/reedquay/fair/Turn.java
+++ b/src/main/java/reedquay/fair/Turn.java
@@ -9,7 +9,7 @@
     final Flows.Lane lane; // null where the way in is not known
     final int tenant;
     final long arrived;
-    Turns.State state = Turns.State.NEW;
+    AdmissionController.State state = AdmissionController.State.NEW;
     long key; // of its client
     long cost; // work it is expected to be, in nanoseconds
     double worth; // its utility for that work
--- a/src/main/java/reedquay/ops/Fronts.java
+++ b/src/main/java/reedquay/ops/Fronts.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import reedquay.fair.Turns;
+import reedquay.fair.AdmissionController;
 import reedquay.route.Router;
 import reedquay.sim.SimHost;
 
@@ -17,7 +17,7 @@
             return Router::new;
         }
         return (settings, effects) -> {
-            Turns turns = new Turns(settings, operators.fair().terms(), effects);
+            AdmissionController turns = new AdmissionController(settings, operators.fair().terms(), effects);
             return turns.setNext(new Router(settings, turns));
         };
     }
--- a/src/main/java/reedquay/ops/Operated.java
+++ b/src/main/java/reedquay/ops/Operated.java
@@ -7,7 +7,7 @@
 import reedquay.core.RoutingEngine;
 import reedquay.core.RoutingActions;
 import reedquay.core.Settings;
-import reedquay.fair.Turns;
+import reedquay.fair.AdmissionController;
 import reedquay.net.ClientIdentifier;
 import reedquay.net.Configuration;
 import reedquay.net.Gateway;
@@ -19,7 +19,7 @@
     private static final System.Logger LOG = System.getLogger("reedquay");
     private final Path file;
     private final Operators operators;
-    private final AtomicReference<Turns> turns = new AtomicReference<>();
+    private final AtomicReference<AdmissionController> turns = new AtomicReference<>();
     private final Gateway gateway;
 
     public Operated(Configuration configuration, Path file) throws IOException {
@@ -34,11 +34,11 @@
         if (!operators.fair().enabled()) {
             return new Router(settings, effects);
         }
-        Turns made = new Turns(settings, operators.fair().terms(), effects);
+        AdmissionController made = new AdmissionController(settings, operators.fair().terms(), effects);
         made.setNext(new Router(settings, made));
         turns.set(made);
-        LOG.log(System.Logger.Level.INFO, "fair queues at the door: " + operators.fair().terms().waiting()
-                + " RPCs may wait, " + made.bytes() + " bytes");
+        LOG.log(System.Logger.Level.INFO, "fair queues at the door: " + operators.fair().terms().maxWaiting()
+                + " RPCs may wait, " + made.memoryBytes() + " bytes");
         return made;
     }
 
@@ -60,7 +60,7 @@
             }
             return gateway.runOnEventLoop(() -> {
                 if (turns.get() != null) {
-                    turns.get().reweigh(next.fair().weights());
+                    turns.get().setWeights(next.fair().weights());
                 }
             });
         } catch (IOException e) {
--- a/src/main/java/reedquay/ops/Operators.java
+++ b/src/main/java/reedquay/ops/Operators.java
@@ -14,7 +14,7 @@
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
-import reedquay.fair.Terms;
+import reedquay.fair.AdmissionSettings;
 import reedquay.net.ClientIdentifier;
 
 /**
@@ -24,8 +24,8 @@
 public record Operators(Fair fair) {
     /** Fair queues at the door; memoryKb: what those that wait may take, messages left out. */
     public record Fair(boolean enabled, ClientIdentifier client, int memoryKb, Map<String, Double> weights) {
-        public Terms terms() {
-            return new Terms(Terms.within(memoryKb * 1024L), weights);
+        public AdmissionSettings terms() {
+            return new AdmissionSettings(AdmissionSettings.maxWaitingWithin(memoryKb * 1024L), weights);
         }
     }
 
@@ -59,7 +59,7 @@
         lines.add("[fair]");
         lines.add("enabled = " + fair.enabled);
         lines.add("client = \"" + name(fair.client) + "\"");
-        lines.add("memory_kb = " + fair.memoryKb + "  # " + fair.terms().waiting() + " RPCs may wait");
+        lines.add("memory_kb = " + fair.memoryKb + "  # " + fair.terms().maxWaiting() + " RPCs may wait");
         lines.add("[fair.weights]");
         fair.weights.forEach((tenant, weight) -> lines.add("\"" + tenant + "\" = " + weight));
         return lines;
--- a/src/test/java/reedquay/fair/TurnsTest.java
+++ b/src/test/java/reedquay/fair/TurnsTest.java
@@ -35,7 +35,7 @@
 
     /** The world on both sides of a door. */
     private static final class Desk extends Stage implements RoutingEngine {
-        final Turns turns;
+        final AdmissionController turns;
         final Member member = new Member("m");
         final List<Rpc> inside = new ArrayList<>();
         final List<Rpc> seen = new ArrayList<>();
@@ -52,7 +52,7 @@
                     new Settings.Capabilities(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
                     new Settings.Rules(0.25, 10_000 * MS, 3, 1000 * MS, 500 * MS, 20 * MS, 10_000 * MS, false),
                     new Settings.PositionSources(true, false, true, false, false), new Settings.Costs(0, 0, 0, 0, 0));
-            turns = new Turns(settings, new Terms(waiting, Map.of()), this);
+            turns = new AdmissionController(settings, new AdmissionSettings(waiting, Map.of()), this);
             turns.setNext(new Behind(this));
             batch(() -> turns.membersListed(ListedMember.ListKind.FULL,
                     List.of(new ListedMember(member, "a", "s", 1, ListedMember.Phase.UP, true, 1, 0))));
--- a/src/test/java/reedquay/ops/OperatorsTest.java
+++ b/src/test/java/reedquay/ops/OperatorsTest.java
@@ -31,7 +31,7 @@
         assertEquals(new ClientIdentifier(ClientIdentifier.Kind.PARAMETER, "application_name"), o.fair().client());
         assertEquals(2.0, o.fair().weights().get("acme"));
         assertEquals(0.5, o.fair().weights().get("a.b"));
-        assertTrue(o.fair().terms().waiting() > 100 && o.fair().terms().waiting() < 1000);
+        assertTrue(o.fair().terms().maxWaiting() > 100 && o.fair().terms().maxWaiting() < 1000);
         assertFalse(Operators.parse("f", "").fair().enabled(), "what is left out is off");
         assertEquals(o, Operators.parse("f", String.join("\n", o.lines())), "what is printed is the file again");
     }
--- a/src/test/java/reedquay/route/RulesTest.java
+++ b/src/test/java/reedquay/route/RulesTest.java
@@ -10,8 +10,8 @@
 import reedquay.core.Method.Consistency;
 import reedquay.core.Method.DeduplicationScope;
 import reedquay.core.Method.RetrySafety;
-import reedquay.fair.Terms;
-import reedquay.fair.Turns;
+import reedquay.fair.AdmissionSettings;
+import reedquay.fair.AdmissionController;
 
 /** Checks each action of a Router on random inputs against a simple model of the five rules. */
 class RulesTest {
@@ -291,7 +291,7 @@
 
     /** A Router behind admission control with few places to wait; under overload two RPCs are admitted at a time. */
     private static RoutingEngine withAdmissionControl(Settings settings, RoutingActions actions) {
-        Turns admission = new Turns(settings, new Terms(16, Map.of("others", 2.0)), actions);
+        AdmissionController admission = new AdmissionController(settings, new AdmissionSettings(16, Map.of("others", 2.0)), actions);
         return admission.setNext(new Router(settings, admission));
     }
 
