--- a/example/StandIn.java
+++ b/example/StandIn.java
@@ -57,7 +57,7 @@
     private long lastCommit;
     private long generation;
     /** What a watch asked for, in their order. */
-    public final List<String> watched = new CopyOnWriteArrayList<>();
+    public final List<String> watchRequests = new CopyOnWriteArrayList<>();
     public volatile boolean discoverySilent;
 
     /** discoveryPort 0: the system chooses. The first member is the primary. */
@@ -89,9 +89,9 @@
     }
 
     /** How many watches are open. */
-    public int watches() {
+    public int openWatches() {
         int[] count = new int[1];
-        run(() -> count[0] = watches.size());
+        runOnEventLoop(() -> count[0] = watches.size());
         return count[0];
     }
 
@@ -99,7 +99,7 @@
         return servers.get(name);
     }
 
-    public InetSocketAddress discovery() {
+    public InetSocketAddress discoveryAddress() {
         return (InetSocketAddress) discovery.localAddress();
     }
 
@@ -114,7 +114,7 @@
     }
 
     /** Runs it on the event loop, to its end. */
-    public void run(Runnable change) {
+    public void runOnEventLoop(Runnable change) {
         group.next().submit(change).syncUninterruptibly();
     }
 
@@ -137,14 +137,14 @@
         public volatile long startedAtMs;
         /** How long a statement takes its one core, in microseconds; 0: none. Others wait, up to so many. */
         public volatile long workMicros;
-        public volatile int queueMost = 1000;
+        public volatile int maxQueuedStatements = 1000;
         private int queued;
         private long freeAt;
         /** Statements that came in whole, probes left out. */
         public final List<String> statements = new CopyOnWriteArrayList<>();
         public final List<String> probes = new CopyOnWriteArrayList<>();
         /** Connections accepted so far. */
-        public volatile int accepted;
+        public volatile int acceptedConnections;
         private final Set<Channel> open = new LinkedHashSet<>();
         private Channel listener;
         private int port;
@@ -154,9 +154,9 @@
             this.primary = primary;
         }
 
-        public int open() {
+        public int openConnections() {
             int[] count = new int[1];
-            run(() -> count[0] = open.size());
+            runOnEventLoop(() -> count[0] = open.size());
             return count[0];
         }
 
@@ -177,12 +177,12 @@
         /** Dies: refuses new connections and resets those it has. */
         public void stop() {
             listener.close().syncUninterruptibly();
-            dropAll();
+            closeConnections();
         }
 
         /** Ends the connections it has, as a server does with idle ones. */
-        public void dropAll() {
-            run(() -> new ArrayList<>(open).forEach(Channel::close));
+        public void closeConnections() {
+            runOnEventLoop(() -> new ArrayList<>(open).forEach(Channel::close));
         }
 
         private long position() {
@@ -199,7 +199,7 @@
         }
 
         @Override public void channelActive(ChannelHandlerContext ctx) {
-            server.accepted++;
+            server.acceptedConnections++;
             server.open.add(ctx.channel());
         }
 
@@ -253,7 +253,7 @@
         }
 
         private void work(ChannelHandlerContext ctx, ByteBuf out, String text) {
-            if (server.queued >= server.queueMost) {
+            if (server.queued >= server.maxQueuedStatements) {
                 refuse(ctx, out, "53300");
                 return;
             }
@@ -352,8 +352,8 @@
     // ---- Discovery ----
 
     /** Tells all watches of these members as they are now; those named alone. */
-    public void tell(String... names) {
-        run(() -> {
+    public void announce(String... names) {
+        runOnEventLoop(() -> {
             generation++;
             String text = list(false, names.length == 0 ? servers.keySet().toArray(new String[0]) : names);
             watches.forEach(w -> line(w, text));
@@ -361,13 +361,13 @@
     }
 
     /** Writes bytes to the watches as they are. */
-    public void tellRaw(String text) {
-        run(() -> watches.forEach(w -> w.writeAndFlush(new DefaultHttpContent(
+    public void sendRaw(String text) {
+        runOnEventLoop(() -> watches.forEach(w -> w.writeAndFlush(new DefaultHttpContent(
                 Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)))));
     }
 
-    public void endWatches() {
-        run(() -> new ArrayList<>(watches).forEach(Channel::close));
+    public void closeWatches() {
+        runOnEventLoop(() -> new ArrayList<>(watches).forEach(Channel::close));
     }
 
     /** The list as discovery writes it. */
@@ -397,7 +397,7 @@
     private final class Watch extends ChannelInboundHandlerAdapter {
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof HttpRequest request) {
-                watched.add(request.uri());
+                watchRequests.add(request.uri());
                 var head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
                 ctx.writeAndFlush(head);
@@ -424,7 +424,7 @@
         try (StandIn toy = new StandIn(port, 2000, "one", "two", "three");
                 BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             toy.servers.values().forEach(s -> System.out.println(s.name + " listens on 127.0.0.1:" + s.port));
-            System.out.println("discovery listens on " + toy.discovery() + "\n" + HELP);
+            System.out.println("discovery listens on " + toy.discoveryAddress() + "\n" + HELP);
             for (String line = in.readLine(); line != null && !line.equals("quit"); line = in.readLine()) {
                 System.out.println(toy.command(line.strip().split("\\s+")));
             }
@@ -450,7 +450,7 @@
                 return HELP;
             }
         }
-        tell();
+        announce();
         return "done";
     }
 }
--- a/src/main/java/reedquay/Main.java
+++ b/src/main/java/reedquay/Main.java
@@ -9,7 +9,7 @@
 import reedquay.net.Gateway;
 import reedquay.net.WarmUp;
 import reedquay.ops.Fronts;
-import reedquay.ops.Operated;
+import reedquay.ops.OperatorGateway;
 import reedquay.sim.SimHost;
 import sun.misc.Signal;
 
@@ -75,7 +75,7 @@
         KeptLogs.install();
         try {
             // what is wrong with it is told before anything else begins
-            Operated operated = ops == null ? null : new Operated(Configuration.read(Path.of(config)), Path.of(ops));
+            OperatorGateway operated = ops == null ? null : new OperatorGateway(Configuration.read(Path.of(config)), Path.of(ops));
             Asked reload = new Asked();
             // guards against the JVM's own way with this signal, which is to end: from here on, a start takes seconds
             Signal.handle(new Signal("HUP"), signal -> reload.ask());
--- a/src/main/java/reedquay/cli/Commands.java
+++ b/src/main/java/reedquay/cli/Commands.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import reedquay.Main;
-import reedquay.ops.Operators;
+import reedquay.ops.OperatorConfig;
 
 /** The command line. The platform's own lines never come here: Main serves them without loading this. */
 @Command(name = "reedquay", mixinStandardHelpOptions = true, version = "reedquay 0.1.0",
@@ -68,9 +68,9 @@
 
         @Override public Integer call() {
             try {
-                Operators.read(file).lines().forEach(System.out::println);
+                OperatorConfig.read(file).lines().forEach(System.out::println);
                 return 0;
-            } catch (Operators.Unfit e) {
+            } catch (OperatorConfig.InvalidConfigException e) {
                 System.err.println(e.getMessage());
             } catch (IOException e) {
                 System.err.println(file + ": " + (Files.exists(file) ? "cannot be read" : "there is no such file"));
--- a/src/main/java/reedquay/ops/Fronts.java
+++ b/src/main/java/reedquay/ops/Fronts.java
@@ -12,7 +12,7 @@
 
     /** Throws IOException where the file can't be read, Unfit where something in it is not allowed. */
     public static SimHost.RoutingEngineFactory maker(Path file) throws IOException {
-        Operators operators = Operators.read(file);
+        OperatorConfig operators = OperatorConfig.read(file);
         if (!operators.fair().enabled()) {
             return Router::new;
         }
--- a/src/main/java/reedquay/ops/Operators.java
+++ b/src/main/java/reedquay/ops/OperatorConfig.java
@@ -21,7 +21,7 @@
  * The operators' own file, TOML, a section a subsystem. Every key is checked; what is wrong is told with file, line,
  * key and what is allowed, all of it at once. Keys that take effect while a gateway runs are named by LIVE.
  */
-public record Operators(Fair fair) {
+public record OperatorConfig(Fair fair) {
     /** Fair queues at the door; memoryKb: what those that wait may take, messages left out. */
     public record Fair(boolean enabled, ClientIdentifier client, int memoryKb, Map<String, Double> weights) {
         public AdmissionSettings terms() {
@@ -30,10 +30,10 @@
     }
 
     /** What is wrong with a file, a line each: file:line: key: what is allowed instead. */
-    public static final class Unfit extends IOException {
+    public static final class InvalidConfigException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Unfit(List<String> lines) {
+        InvalidConfigException(List<String> lines) {
             super(String.join("\n", lines));
         }
     }
@@ -44,12 +44,12 @@
     private static final Fair NO_FAIR = new Fair(false, new ClientIdentifier(ClientIdentifier.Kind.KEY, ""), 512, Map.of());
 
     /** Reads the file. Throws IOException where it can't be read, Unfit where something in it is not allowed. */
-    public static Operators read(Path file) throws IOException {
+    public static OperatorConfig read(Path file) throws IOException {
         return new Reader(file.toString(), Toml.parse(Files.readString(file))).read();
     }
 
     /** The same from a text; name: what to call it in complaints. */
-    static Operators parse(String name, String text) throws Unfit {
+    static OperatorConfig parse(String name, String text) throws InvalidConfigException {
         return new Reader(name, Toml.parse(text)).read();
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** What the next file changes that a running gateway can't take on, in words; empty for nothing. */
-    public String needsRestartFor(Operators next) {
+    public String needsRestartFor(OperatorConfig next) {
         List<String> unlike = new ArrayList<>();
         if (fair.enabled != next.fair.enabled) {
             unlike.add("fair.enabled");
@@ -95,17 +95,17 @@
             this.all = all;
         }
 
-        Operators read() throws Unfit {
+        OperatorConfig read() throws InvalidConfigException {
             for (TomlParseError error : all.errors()) {
                 wrong.add(file + ":" + error.position().line() + ": " + error.getMessage());
             }
             if (!wrong.isEmpty()) {
-                throw new Unfit(wrong);
+                throw new InvalidConfigException(wrong);
             }
             only(all, "", Set.of("fair"));
-            Operators read = new Operators(fair(table(all, "", "fair")));
+            OperatorConfig read = new OperatorConfig(fair(table(all, "", "fair")));
             if (!wrong.isEmpty()) {
-                throw new Unfit(wrong);
+                throw new InvalidConfigException(wrong);
             }
             return read;
         }
--- a/src/main/java/reedquay/ops/Operated.java
+++ b/src/main/java/reedquay/ops/OperatorGateway.java
@@ -15,16 +15,16 @@
 import reedquay.route.Router;
 
 /** A gateway with the parts that the operators' file turns on. Loaded only where there is such a file. */
-public final class Operated {
+public final class OperatorGateway {
     private static final System.Logger LOG = System.getLogger("reedquay");
     private final Path file;
-    private final Operators operators;
+    private final OperatorConfig operators;
     private final AtomicReference<AdmissionController> turns = new AtomicReference<>();
     private final Gateway gateway;
 
-    public Operated(Configuration configuration, Path file) throws IOException {
+    public OperatorGateway(Configuration configuration, Path file) throws IOException {
         this.file = file;
-        operators = Operators.read(file);
+        operators = OperatorConfig.read(file);
         ClientIdentifier callers = operators.fair().enabled() ? operators.fair().client() : null;
         gateway = new Gateway(configuration, new GatewayComponents(this::decider, callers));
     }
@@ -52,7 +52,7 @@
      */
     public CompletableFuture<Boolean> reload() {
         try {
-            Operators next = Operators.read(file);
+            OperatorConfig next = OperatorConfig.read(file);
             String unlike = operators.needsRestartFor(next);
             if (!unlike.isEmpty()) {
                 LOG.log(System.Logger.Level.WARNING, file + " has another " + unlike
--- a/src/test/java/reedquay/net/GatewayTest.java
+++ b/src/test/java/reedquay/net/GatewayTest.java
@@ -58,7 +58,7 @@
 
     private Gateway start(JsonObject all) {
         all.addProperty("listen", "127.0.0.1:0");
-        all.addProperty("discovery", "127.0.0.1:" + world.discovery().getPort());
+        all.addProperty("discovery", "127.0.0.1:" + world.discoveryAddress().getPort());
         gateway = new Gateway(Configuration.parse(all.toString()));
         address = gateway.start().join();
         return gateway;
@@ -254,11 +254,11 @@
         start(short1);
         try (Client client = ready()) {
             assertEquals("T D:a C Z", client.ask(write(3000, "a")));
-            await(() -> primary.open() == 0, "idle connections are closed in time");
+            await(() -> primary.openConnections() == 0, "idle connections are closed in time");
             await(() -> count("member.closed.idle") > 0, "and counted");
             assertEquals("T D:b C Z", client.ask(write(3000, "b")));
             long before = count("member.open");
-            primary.dropAll();
+            primary.closeConnections();
             await(() -> count("member.open") < before, "the gateway sees them go");
             assertEquals("T D:c C Z", client.ask(write(3000, "c")));
             assertEquals(0, count("callout.RESET") + count("callout.STALE"));
@@ -291,7 +291,7 @@
         client.send(Messages.query(Unpooled.buffer(), write(3000, "b")));
         await(() -> primary.statements.size() == 2, "the statement is out");
         client.close();
-        await(() -> count("rpc.clientgone") == 1 && primary.open() == primary.accepted - 1, "its connection is closed");
+        await(() -> count("rpc.clientgone") == 1 && primary.openConnections() == primary.acceptedConnections - 1, "its connection is closed");
         assertEquals(1, count("callout.CANCELLED"));
     }
 
@@ -415,24 +415,24 @@
             primary.stop();
             primary.start(0);
             primary.startedAtMs = System.currentTimeMillis() - 60_000;
-            world.tell("one");
+            world.announce("one");
             long lists = count("discovery.lists");
             await(() -> count("discovery.lists") >= lists, "the change is read");
             String got = client.ask(write(3000, "b"));
             assertEquals("T D:b C Z", got);
-            world.endWatches();
-            await(() -> world.watched.size() == 2, "the watch is opened again");
-            assertEquals("/discovery/hosts?follow=1&since=1", world.watched.get(1));
+            world.closeWatches();
+            await(() -> world.watchRequests.size() == 2, "the watch is opened again");
+            assertEquals("/discovery/hosts?follow=1&since=1", world.watchRequests.get(1));
             await(() -> count("discovery.lists") > lists, "and read");
-            world.tellRaw("{\"generation\":5,\"instances\":[{]}\n");
-            await(() -> world.watched.size() == 3, "nonsense ends a watch, not the gateway");
-            world.tellRaw("{\"instances\":[{\"instanceId\":\"one\",\"lifecycle\":\"ready\","
+            world.sendRaw("{\"generation\":5,\"instances\":[{]}\n");
+            await(() -> world.watchRequests.size() == 3, "nonsense ends a watch, not the gateway");
+            world.sendRaw("{\"instances\":[{\"instanceId\":\"one\",\"lifecycle\":\"ready\","
                     + "\"hostPort\":\"a.b:1\"}]}\n");
-            await(() -> world.watched.size() == 4, "a name is no address");
+            await(() -> world.watchRequests.size() == 4, "a name is no address");
             assertEquals("T D:c C Z", client.ask(write(3000, "c")));
             world.discoverySilent = true;
-            world.endWatches();
-            await(() -> world.watched.size() == 5, "a silent one is opened as well");
+            world.closeWatches();
+            await(() -> world.watchRequests.size() == 5, "a silent one is opened as well");
             assertEquals("T D:d C Z", client.ask(write(3000, "d")));
         }
     }
@@ -530,26 +530,26 @@
             primary.fault = "silent";
             client.send(Messages.query(Unpooled.buffer(), write(3000, "a")));
             await(() -> primary.statements.size() == 1, "an RPC is in hand");
-            int old = world.discovery().getPort();
+            int old = world.discoveryAddress().getPort();
             config.addProperty("discovery", "127.0.0.1:" + Configuration.address("127.0.0.1:1").getPort());
             assertTrue(gateway.reload(file(config)).join());
             await(() -> count("discovery.watches") >= 3, "nobody is there, it is tried again");
             long lists = count("discovery.lists");
-            world.tell("two");
+            world.announce("two");
             await(() -> count("discovery.lists") > lists, "the old one still tells");
-            world.tellRaw("{\"generation\":0,\"instances\":[]}\n");
+            world.sendRaw("{\"generation\":0,\"instances\":[]}\n");
             await(() -> count("discovery.older") == 1, "what is older than the list is passed over");
             world.moveDiscovery(0);
-            config.addProperty("discovery", "127.0.0.1:" + world.discovery().getPort());
+            config.addProperty("discovery", "127.0.0.1:" + world.discoveryAddress().getPort());
             for (int i = 0; i < 3; i++) {
                 assertTrue(gateway.reload(file(config)).join());
             }
-            await(() -> world.watched.size() == 2, "the new one is watched");
-            assertEquals("/discovery/hosts?follow=1&since=1", world.watched.get(1));
+            await(() -> world.watchRequests.size() == 2, "the new one is watched");
+            assertEquals("/discovery/hosts?follow=1&since=1", world.watchRequests.get(1));
             await(() -> count("discovery.lists") > lists + 1, "and tells");
-            assertEquals(2, world.watches(), "and the old one is read for as long as it lives");
-            world.endWatches();
-            await(() -> world.watched.size() == 3 && world.watches() == 1, "once it ends it is not opened again");
+            assertEquals(2, world.openWatches(), "and the old one is read for as long as it lives");
+            world.closeWatches();
+            await(() -> world.watchRequests.size() == 3 && world.openWatches() == 1, "once it ends it is not opened again");
             for (String bad : List.of("", "{\"listen\":", "{}")) {
                 assertFalse(gateway.reload(Files.writeString(file(config), bad)).join());
             }
@@ -559,7 +559,7 @@
             config.addProperty("discovery", "127.0.0.1:" + old);
             assertFalse(gateway.reload(file(config)).join(), "a name needs a restart");
             world.moveDiscovery(old);
-            await(() -> world.watched.size() == 4, "discovery does not");
+            await(() -> world.watchRequests.size() == 4, "discovery does not");
             assertEquals("E:58000 Z", client.answer());
             gateway.stop().join();
             assertFalse(gateway.reload(file(config)).join(), "a stopped one takes nothing on");
@@ -570,7 +570,7 @@
     @Test void signalsReachTheGateway() throws Exception {
         JsonObject config = configuration();
         config.addProperty("listen", "127.0.0.1:0");
-        config.addProperty("discovery", "127.0.0.1:" + world.discovery().getPort());
+        config.addProperty("discovery", "127.0.0.1:" + world.discoveryAddress().getPort());
         Path file = file(config);
         Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "reedquay.Main", "serve", file.toString())
@@ -579,12 +579,12 @@
             String rehearsed = out.readLine();
             assertTrue(rehearsed.matches("rehearsed [1-9].*"), rehearsed);
             assertTrue(out.readLine().startsWith("listening on"), "and only then it listens");
-            await(() -> world.watches() == 1, "it watches");
+            await(() -> world.openWatches() == 1, "it watches");
             world.moveDiscovery(0);
-            config.addProperty("discovery", "127.0.0.1:" + world.discovery().getPort());
+            config.addProperty("discovery", "127.0.0.1:" + world.discoveryAddress().getPort());
             Files.writeString(file, config.toString());
             assertEquals(0, new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
-            await(() -> world.watched.size() == 2, "it watches the new one");
+            await(() -> world.watchRequests.size() == 2, "it watches the new one");
             new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
             process.toHandle().destroy();
             assertTrue(out.lines().anyMatch(l -> l.startsWith("counters") && l.contains("discovery.moves=1")));
@@ -612,7 +612,7 @@
         try (Client client = ready()) {
             world.server("two").lifecycle = "draining";
             long lists = count("discovery.lists");
-            world.tell("two");
+            world.announce("two");
             await(() -> count("discovery.lists") > lists, "told");
             int before = world.server("two").statements.size();
             for (int i = 0; i < 20; i++) {
@@ -630,13 +630,13 @@
         start(patient);
         try (Client client = new Client().startup(); Client other = new Client().startup()) {
             client.send(Messages.query(Unpooled.buffer(), ""));
-            await(() -> !world.watched.isEmpty(), "the watch is open");
+            await(() -> !world.watchRequests.isEmpty(), "the watch is open");
             for (int i = 0; i < 3; i++) { // the loop has met the empty query by now
                 assertTrue(other.ask("SHOW counters").startsWith("T D:"));
             }
             assertEquals(0, client.in.available(), "answered without a list");
             world.discoverySilent = false;
-            world.tell();
+            world.announce();
             assertEquals("I Z", client.answer());
             assertTrue(count("discovery.lists") > 0);
         }
@@ -822,8 +822,8 @@
                 }
                 String some = up.toString();
                 long lists = count("discovery.lists");
-                world.tellRaw("{\"generation\":9,\"instances\":[" + some + "]}\n");
-                world.tellRaw("{\"generation\":9,\"instances\":[" + some.replace("draining", "gone") + "]}\n");
+                world.sendRaw("{\"generation\":9,\"instances\":[" + some + "]}\n");
+                world.sendRaw("{\"generation\":9,\"instances\":[" + some.replace("draining", "gone") + "]}\n");
                 await(() -> count("discovery.lists") == lists + 2, "both are read");
                 try (Client once = new Client().startup()) {
                     assertEquals("T D: C Z", once.ask(read("history", 1000).replace("'k'", "'k" + i + "'")));
--- a/src/test/java/reedquay/ops/FairGatewayTest.java
+++ b/src/test/java/reedquay/ops/FairGatewayTest.java
@@ -37,7 +37,7 @@
     @TempDir private Path dir;
     private final StandIn world = new StandIn(0, 200, "one", "two", "three");
     private final AtomicLong ids = new AtomicLong(0x1000);
-    private Operated operated;
+    private OperatorGateway operated;
     private Gateway gateway;
     private InetSocketAddress address;
     private volatile boolean loading = true;
@@ -61,8 +61,8 @@
     private void start(String text) throws IOException {
         JsonObject config = configuration();
         config.addProperty("listen", "127.0.0.1:0");
-        config.addProperty("discovery", "127.0.0.1:" + world.discovery().getPort());
-        operated = new Operated(Configuration.parse(config.toString()), ops(text));
+        config.addProperty("discovery", "127.0.0.1:" + world.discoveryAddress().getPort());
+        operated = new OperatorGateway(Configuration.parse(config.toString()), ops(text));
         gateway = operated.gateway();
         address = gateway.start().join();
         for (String name : List.of("two", "three")) {
@@ -179,7 +179,7 @@
     }
 
     @Test void anUnfitFileStopsTheStartBeforeAnythingListens() throws Exception {
-        assertThrows(Operators.Unfit.class, () -> start("[fair]\nenabled = 7\n"));
+        assertThrows(OperatorConfig.InvalidConfigException.class, () -> start("[fair]\nenabled = 7\n"));
         JsonObject config = configuration();
         Path file = Files.writeString(dir.resolve("config.json"), config.toString());
         Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
@@ -195,7 +195,7 @@
     @Test void whatIsOffIsNotLoaded() throws Exception {
         JsonObject config = configuration();
         config.addProperty("listen", "127.0.0.1:0");
-        config.addProperty("discovery", "127.0.0.1:" + world.discovery().getPort());
+        config.addProperty("discovery", "127.0.0.1:" + world.discoveryAddress().getPort());
         Path file = Files.writeString(dir.resolve("config.json"), config.toString());
         Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xshare:off", "-verbose:class", "-cp", System.getProperty("java.class.path"), "reedquay.Main", "serve",
--- a/src/test/java/reedquay/ops/OperatorsTest.java
+++ b/src/test/java/reedquay/ops/OperatorsTest.java
@@ -18,22 +18,22 @@
     @TempDir private Path dir;
 
     private static void unfit(String text, String... told) {
-        String all = assertThrows(Operators.Unfit.class, () -> Operators.parse("f.toml", text), text).getMessage();
+        String all = assertThrows(OperatorConfig.InvalidConfigException.class, () -> OperatorConfig.parse("f.toml", text), text).getMessage();
         for (String each : told) {
             assertTrue(all.contains(each), all);
         }
     }
 
-    @Test void allKeysAreRead() throws Operators.Unfit {
-        Operators o = Operators.parse("f", "[fair]\nenabled = true\nclient = \"parameter:application_name\"\n"
+    @Test void allKeysAreRead() throws OperatorConfig.InvalidConfigException {
+        OperatorConfig o = OperatorConfig.parse("f", "[fair]\nenabled = true\nclient = \"parameter:application_name\"\n"
                 + "memory_kb = 64\n[fair.weights]\nacme = 2\n\"a.b\" = 0.5\n");
         assertTrue(o.fair().enabled());
         assertEquals(new ClientIdentifier(ClientIdentifier.Kind.PARAMETER, "application_name"), o.fair().client());
         assertEquals(2.0, o.fair().weights().get("acme"));
         assertEquals(0.5, o.fair().weights().get("a.b"));
         assertTrue(o.fair().terms().maxWaiting() > 100 && o.fair().terms().maxWaiting() < 1000);
-        assertFalse(Operators.parse("f", "").fair().enabled(), "what is left out is off");
-        assertEquals(o, Operators.parse("f", String.join("\n", o.lines())), "what is printed is the file again");
+        assertFalse(OperatorConfig.parse("f", "").fair().enabled(), "what is left out is off");
+        assertEquals(o, OperatorConfig.parse("f", String.join("\n", o.lines())), "what is printed is the file again");
     }
 
     @Test void whatIsWrongIsToldWithLineKeyAndWhatIsAllowed() {
@@ -50,11 +50,11 @@
         unfit("[fair]\nenabled = true\nenabled = false\n", "f.toml:3");
     }
 
-    @Test void whatNeedsARestartIsNamed() throws Operators.Unfit {
-        Operators one = Operators.parse("f", "[fair]\nenabled = true\n");
-        assertEquals("", one.needsRestartFor(Operators.parse("f", "[fair]\nenabled = true\n[fair.weights]\na = 3\n")));
+    @Test void whatNeedsARestartIsNamed() throws OperatorConfig.InvalidConfigException {
+        OperatorConfig one = OperatorConfig.parse("f", "[fair]\nenabled = true\n");
+        assertEquals("", one.needsRestartFor(OperatorConfig.parse("f", "[fair]\nenabled = true\n[fair.weights]\na = 3\n")));
         assertEquals("fair.enabled, fair.client, fair.memory_kb",
-                one.needsRestartFor(Operators.parse("f", "[fair]\nclient = \"address\"\nmemory_kb = 9\n")));
+                one.needsRestartFor(OperatorConfig.parse("f", "[fair]\nclient = \"address\"\nmemory_kb = 9\n")));
     }
 
     @Test void checkPrintsWhatWouldBeInForceOrWhatIsWrong() throws IOException {
