--- a/src/test/java/reedquay/route/RouterTest.java
+++ b/src/test/java/reedquay/route/RouterTest.java
@@ -181,8 +181,7 @@
     }
 
     private static int gatewaysReadingFromPrimary(boolean probesReportPositions, Role reportedRole, long lagMillis,
-            long reportAgeMillis, long writeMillis, Method method,
-            boolean retry) {
+            long reportAgeMillis, long writeMillis, Method method, boolean retry) {
         int readsFromPrimary = 0;
         for (int index = 0; index < 100; index++) {
             TestFront front = new TestFront(true, true, probesReportPositions, false, index, 100);
@@ -230,8 +229,7 @@
         int highUtility = gatewaysReadingFromPrimary(false, Role.PRIMARY, 10, 1000, 160, BOUNDED);
         int lowUtility = gatewaysReadingFromPrimary(false, Role.PRIMARY, 10, 1000, 160, LOW_UTILITY);
         assertTrue(lowUtility * 2 > highUtility && lowUtility * 10 < highUtility * 9,
-                "reads of half the utility are sent less: "
-                + lowUtility + " compared with " + highUtility);
+                "reads of half the utility are sent less: " + lowUtility + " compared with " + highUtility);
     }
 
     /**
@@ -297,7 +295,7 @@
     }
 
     /** A member that rejects work at once looks fast and idle, so it drew ever more call-outs. */
-    @Test void memberThatRejectsWorkIsBackedOffFrom() {
+    @Test void gatewayBacksOffFromAMemberThatRejectsWork() {
         Rpc first = front.arrive(ANY, 0);
         Member full = front.lastCallOut(first).member;
         front.answer(front.lastCallOut(first), Outcome.FULL, LoadReport.NO_POSITION, Role.UNKNOWN);
--- a/src/test/java/reedquay/route/RulesTest.java
+++ b/src/test/java/reedquay/route/RulesTest.java
@@ -10,8 +10,8 @@
 import reedquay.core.Method.Consistency;
 import reedquay.core.Method.DeduplicationScope;
 import reedquay.core.Method.RetrySafety;
-import reedquay.fair.AdmissionSettings;
 import reedquay.fair.AdmissionController;
+import reedquay.fair.AdmissionSettings;
 
 /** Checks each action of a Router on random inputs against a simple model of the five rules. */
 class RulesTest {
@@ -19,16 +19,16 @@
     private static final class RandomizedFront extends TestFront {
         final SplittableRandom random;
         final List<String> ids = List.of("a", "b", "c", "d", "e");
-        final Map<Member, Long> truePositions = new HashMap<>(); // of each member; what its answers and probes report
-        final Map<Member, Long> closedAt = new HashMap<>(); // when the Router was told that it drains or is gone
+        final Map<Member, Long> truePositions = new HashMap<>(); // what its answers and probes report
+        final Map<Member, Long> closedAt = new HashMap<>(); // when it was listed as draining or gone
         final Map<Member, Long> startedAt = new HashMap<>(); // process start of a cold member, as listed
-        final Set<Member> reportedPrimaries = new HashSet<>(); // reported itself primary and nothing else since
+        final Set<Member> reportedPrimaries = new HashSet<>(); // whose last reported role is primary
         final Map<Rpc, Long> arrivedAt = new LinkedHashMap<>();
         final Map<CallOut, Outcome> outcomes = new HashMap<>();
         final Map<Member, List<Long>> answerTimes = new HashMap<>(); // of the last cold window
         long maxAnswersPerWindow; // the most that one member has answered in a window
         final List<CallOut> sent = new ArrayList<>();
-        final List<CallOut> awaitingConnection = new ArrayList<>(); // for their connections
+        final List<CallOut> awaitingConnection = new ArrayList<>();
         final List<CallOut> cancelledBeforeSend = new ArrayList<>(); // cancelled while they waited for a connection
         int sentAfterWaiting;
         int clientCount = 1;
@@ -291,7 +291,8 @@
 
     /** A Router behind admission control with few places to wait; under overload two RPCs are admitted at a time. */
     private static RoutingEngine withAdmissionControl(Settings settings, RoutingActions actions) {
-        AdmissionController admission = new AdmissionController(settings, new AdmissionSettings(16, Map.of("others", 2.0)), actions);
+        AdmissionController admission = new AdmissionController(settings,
+                new AdmissionSettings(16, Map.of("others", 2.0)), actions);
         return admission.setNext(new Router(settings, admission));
     }
 
