--- a/src/main/java/reedquay/core/Rpc.java
+++ b/src/main/java/reedquay/core/Rpc.java
@@ -21,7 +21,7 @@
     /** Identifies the client, by what the front tells clients apart; null where only the tenant is known. */
     public String clientId;
     /** The own state of a stage before the engine; only that stage reads it. */
-    public Object filterState;
+    public Object stageState;
     /** Whether the final answer has been given, or the client has left. */
     public boolean ended;
     /** The routing engine's own state of this RPC; only the engine reads it. */
--- a/src/main/java/reedquay/core/Stage.java
+++ b/src/main/java/reedquay/core/Stage.java
@@ -23,13 +23,13 @@
 
     /** A table of statistics by its name, the column names as its first row; null if no stage has one of that name. */
     public List<String[]> statisticsTable(String name) {
-        return next instanceof Stage filter ? filter.statisticsTable(name) : null;
+        return next instanceof Stage nextStage ? nextStage.statisticsTable(name) : null;
     }
 
     /** Adds the counters of this stage and the next ones; the names begin with the stage's own. */
     public void addCounters(Map<String, Long> counters) {
-        if (next instanceof Stage filter) {
-            filter.addCounters(counters);
+        if (next instanceof Stage nextStage) {
+            nextStage.addCounters(counters);
         }
     }
 
