--- a/src/main/java/reedquay/Main.java
+++ b/src/main/java/reedquay/Main.java
@@ -8,7 +8,7 @@
 import reedquay.net.Configuration;
 import reedquay.net.Gateway;
 import reedquay.net.WarmUp;
-import reedquay.ops.Fronts;
+import reedquay.ops.SimulatorEngines;
 import reedquay.ops.OperatorGateway;
 import reedquay.sim.SimHost;
 import sun.misc.Signal;
@@ -21,15 +21,15 @@
     private Main() { }
 
     public static void main(String[] args) throws IOException {
-        String front = args.length == 0 ? "" : args[0];
-        boolean plain = args.length < 2 || args.length == 2 && !args[1].startsWith("-");
-        String ops = System.getenv("REEDQUAY_OPS");
+        String command = args.length == 0 ? "" : args[0];
+        boolean withoutOptions = args.length < 2 || args.length == 2 && !args[1].startsWith("-");
+        String operatorFile = System.getenv("REEDQUAY_OPS");
         int status;
-        if (plain && front.equals("simhost") && args.length == 1) {
-            status = simhost(ops);
-        } else if (plain && front.equals("serve")) {
-            status = serve(args.length == 2 ? args[1] : System.getenv("LB_CONFIG"), ops);
-        } else if (front.equals("rehearse") && args.length == 2 && plain) {
+        if (withoutOptions && command.equals("simhost") && args.length == 1) {
+            status = simhost(operatorFile);
+        } else if (withoutOptions && command.equals("serve")) {
+            status = serve(args.length == 2 ? args[1] : System.getenv("LB_CONFIG"), operatorFile);
+        } else if (command.equals("rehearse") && args.length == 2 && withoutOptions) {
             status = rehearse(args[1]);
         } else {
             status = Commands.run(args);
@@ -40,24 +40,24 @@
     }
 
     /** Serves the simulator's wire; ops: the operators' file, null for none. The exit status. */
-    public static int simhost(String ops) throws IOException {
-        SimHost.RoutingEngineFactory maker = null;
-        if (ops != null) {
+    public static int simhost(String operatorFile) throws IOException {
+        SimHost.RoutingEngineFactory engineFactory = null;
+        if (operatorFile != null) {
             try {
-                maker = Fronts.maker(Path.of(ops));
+                engineFactory = SimulatorEngines.factory(Path.of(operatorFile));
             } catch (IOException e) {
                 System.err.println("reedquay: cannot start: " + e.getMessage());
                 return 1;
             }
         }
-        return maker == null ? SimHost.serve(System.in, System.out, System.err)
-                : SimHost.serve(maker, System.in, System.out, System.err);
+        return engineFactory == null ? SimHost.serve(System.in, System.out, System.err)
+                : SimHost.serve(engineFactory, System.in, System.out, System.err);
     }
 
     /** Plays RPCs of the configuration's settings within the process. The exit status. */
-    public static int rehearse(String config) {
+    public static int rehearse(String configFile) {
         try {
-            System.out.println("rehearsed " + WarmUp.run(Files.readString(Path.of(config))).get("rpc.taken")
+            System.out.println("rehearsed " + WarmUp.run(Files.readString(Path.of(configFile))).get("rpc.taken")
                     + " RPCs");
         } catch (IOException | RuntimeException e) {
             System.err.println("reedquay: the rehearsal ended early: " + e.getMessage());
@@ -66,22 +66,22 @@
     }
 
     /** Starts a gateway, which goes on when this returns -1; else the exit status. */
-    public static int serve(String config, String ops) {
-        if (config == null) {
+    public static int serve(String configFile, String operatorFile) {
+        if (configFile == null) {
             System.err.println("usage: java -jar reedquay.jar simhost | serve [CONFIG] | rehearse CONFIG | --help\n"
                     + "CONFIG is a JSON file; where none is given LB_CONFIG names it");
             return 2;
         }
-        KeptLogs.install();
+        PersistentLogManager.install();
         try {
             // what is wrong with it is told before anything else begins
-            OperatorGateway operated = ops == null ? null : new OperatorGateway(Configuration.read(Path.of(config)), Path.of(ops));
-            Asked reload = new Asked();
+            OperatorGateway operatorGateway = operatorFile == null ? null : new OperatorGateway(Configuration.read(Path.of(configFile)), Path.of(operatorFile));
+            DeferredAction reload = new DeferredAction();
             // guards against the JVM's own way with this signal, which is to end: from here on, a start takes seconds
-            Signal.handle(new Signal("HUP"), signal -> reload.ask());
-            rehearse(config);
-            Object trace = Boolean.getBoolean("reedquay.trace") ? KeptLogs.trace() : null; // a logger lives while held
-            Gateway gateway = operated != null ? operated.gateway() : new Gateway(Configuration.read(Path.of(config)));
+            Signal.handle(new Signal("HUP"), signal -> reload.request());
+            rehearse(configFile);
+            Object trace = Boolean.getBoolean("reedquay.trace") ? PersistentLogManager.enableTrace() : null; // a logger lives while held
+            Gateway gateway = operatorGateway != null ? operatorGateway.gateway() : new Gateway(Configuration.read(Path.of(configFile)));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 gateway.stop().join();
                 Reference.reachabilityFence(trace);
@@ -89,12 +89,12 @@
                 System.out.flush();
                 Runtime.getRuntime().halt(0); // a stop that was asked for is no failure
             }));
-            Runnable again = operated == null ? null : operated::reload; // no class of it is loaded where it is off
+            Runnable reloadOperatorFile = operatorGateway == null ? null : operatorGateway::reload; // no class of it is loaded where it is off
             System.out.println("listening on " + gateway.start().join());
-            reload.ready(() -> {
-                gateway.reload(Path.of(config));
-                if (again != null) {
-                    again.run();
+            reload.enable(() -> {
+                gateway.reload(Path.of(configFile));
+                if (reloadOperatorFile != null) {
+                    reloadOperatorFile.run();
                 }
             });
             return -1;
--- a/src/main/java/reedquay/cli/Commands.java
+++ b/src/main/java/reedquay/cli/Commands.java
@@ -26,14 +26,14 @@
     @Command(name = "serve", mixinStandardHelpOptions = true, description = "Starts a gateway, until SIGTERM.")
     static final class Serve implements Callable<Integer> {
         @Parameters(arity = "0..1", paramLabel = "CONFIG", description = "JSON; where absent LB_CONFIG names it")
-        private String config;
+        private String configFile;
         @Option(names = "--ops", paramLabel = "FILE",
                 description = "the operators' file, TOML; where absent REEDQUAY_OPS names it, if set")
-        private String ops;
+        private String operatorFile;
 
         @Override public Integer call() throws IOException {
-            return Main.serve(config != null ? config : System.getenv("LB_CONFIG"),
-                    ops != null ? ops : System.getenv("REEDQUAY_OPS"));
+            return Main.serve(configFile != null ? configFile : System.getenv("LB_CONFIG"),
+                    operatorFile != null ? operatorFile : System.getenv("REEDQUAY_OPS"));
         }
     }
 
@@ -41,10 +41,10 @@
             description = "Plays RPCs of a configuration's settings within the process.")
     static final class Rehearse implements Callable<Integer> {
         @Parameters(paramLabel = "CONFIG", description = "JSON")
-        private String config;
+        private String configFile;
 
         @Override public Integer call() {
-            return Main.rehearse(config);
+            return Main.rehearse(configFile);
         }
     }
 
@@ -53,10 +53,10 @@
     static final class Simhost implements Callable<Integer> {
         @Option(names = "--ops", paramLabel = "FILE",
                 description = "the operators' file, TOML; where absent REEDQUAY_OPS names it, if set")
-        private String ops;
+        private String operatorFile;
 
         @Override public Integer call() throws IOException {
-            return Main.simhost(ops != null ? ops : System.getenv("REEDQUAY_OPS"));
+            return Main.simhost(operatorFile != null ? operatorFile : System.getenv("REEDQUAY_OPS"));
         }
     }
 
@@ -64,16 +64,16 @@
             description = "Checks an operators' file and prints what would be in force.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "TOML")
-        private Path file;
+        private Path operatorFile;
 
         @Override public Integer call() {
             try {
-                OperatorConfig.read(file).lines().forEach(System.out::println);
+                OperatorConfig.read(operatorFile).effectiveLines().forEach(System.out::println);
                 return 0;
             } catch (OperatorConfig.InvalidConfigException e) {
                 System.err.println(e.getMessage());
             } catch (IOException e) {
-                System.err.println(file + ": " + (Files.exists(file) ? "cannot be read" : "there is no such file"));
+                System.err.println(operatorFile + ": " + (Files.exists(operatorFile) ? "cannot be read" : "there is no such file"));
             }
             return 1;
         }
--- a/src/main/java/reedquay/ops/OperatorConfig.java
+++ b/src/main/java/reedquay/ops/OperatorConfig.java
@@ -21,10 +21,10 @@
  * The operators' own file, TOML, a section a subsystem. Every key is checked; what is wrong is told with file, line,
  * key and what is allowed, all of it at once. Keys that take effect while a gateway runs are named by LIVE.
  */
-public record OperatorConfig(Fair fair) {
+public record OperatorConfig(FairQueueing fairQueueing) {
     /** Fair queues at the door; memoryKb: what those that wait may take, messages left out. */
-    public record Fair(boolean enabled, ClientIdentifier client, int memoryKb, Map<String, Double> weights) {
-        public AdmissionSettings terms() {
+    public record FairQueueing(boolean enabled, ClientIdentifier clientIdentity, int memoryKb, Map<String, Double> weights) {
+        public AdmissionSettings admissionSettings() {
             return new AdmissionSettings(AdmissionSettings.maxWaitingWithin(memoryKb * 1024L), weights);
         }
     }
@@ -33,113 +33,113 @@
     public static final class InvalidConfigException extends IOException {
         private static final long serialVersionUID = 1;
 
-        InvalidConfigException(List<String> lines) {
-            super(String.join("\n", lines));
+        InvalidConfigException(List<String> problems) {
+            super(String.join("\n", problems));
         }
     }
 
     /** Keys whose change a running gateway takes on; all others need a restart. */
-    public static final Set<String> LIVE = Set.of("fair.weights");
+    public static final Set<String> RELOADABLE_KEYS = Set.of("fair.weights");
 
-    private static final Fair NO_FAIR = new Fair(false, new ClientIdentifier(ClientIdentifier.Kind.KEY, ""), 512, Map.of());
+    private static final FairQueueing DEFAULT_FAIR_QUEUEING = new FairQueueing(false, new ClientIdentifier(ClientIdentifier.Kind.KEY, ""), 512, Map.of());
 
     /** Reads the file. Throws IOException where it can't be read, Unfit where something in it is not allowed. */
     public static OperatorConfig read(Path file) throws IOException {
-        return new Reader(file.toString(), Toml.parse(Files.readString(file))).read();
+        return new Parser(file.toString(), Toml.parse(Files.readString(file))).parse();
     }
 
     /** The same from a text; name: what to call it in complaints. */
-    static OperatorConfig parse(String name, String text) throws InvalidConfigException {
-        return new Reader(name, Toml.parse(text)).read();
+    static OperatorConfig parse(String sourceName, String text) throws InvalidConfigException {
+        return new Parser(sourceName, Toml.parse(text)).parse();
     }
 
     /** What would be in force, a line a key, in the form of the file. */
-    public List<String> lines() {
+    public List<String> effectiveLines() {
         List<String> lines = new ArrayList<>();
         lines.add("[fair]");
-        lines.add("enabled = " + fair.enabled);
-        lines.add("client = \"" + name(fair.client) + "\"");
-        lines.add("memory_kb = " + fair.memoryKb + "  # " + fair.terms().maxWaiting() + " RPCs may wait");
+        lines.add("enabled = " + fairQueueing.enabled);
+        lines.add("client = \"" + clientValue(fairQueueing.clientIdentity) + "\"");
+        lines.add("memory_kb = " + fairQueueing.memoryKb + "  # " + fairQueueing.admissionSettings().maxWaiting() + " RPCs may wait");
         lines.add("[fair.weights]");
-        fair.weights.forEach((tenant, weight) -> lines.add("\"" + tenant + "\" = " + weight));
+        fairQueueing.weights.forEach((tenant, weight) -> lines.add("\"" + tenant + "\" = " + weight));
         return lines;
     }
 
     /** What the next file changes that a running gateway can't take on, in words; empty for nothing. */
-    public String needsRestartFor(OperatorConfig next) {
-        List<String> unlike = new ArrayList<>();
-        if (fair.enabled != next.fair.enabled) {
-            unlike.add("fair.enabled");
+    public String changedKeysNeedingRestart(OperatorConfig newConfig) {
+        List<String> changedKeys = new ArrayList<>();
+        if (fairQueueing.enabled != newConfig.fairQueueing.enabled) {
+            changedKeys.add("fair.enabled");
         }
-        if (!fair.client.equals(next.fair.client)) {
-            unlike.add("fair.client");
+        if (!fairQueueing.clientIdentity.equals(newConfig.fairQueueing.clientIdentity)) {
+            changedKeys.add("fair.client");
         }
-        if (fair.memoryKb != next.fair.memoryKb) {
-            unlike.add("fair.memory_kb");
+        if (fairQueueing.memoryKb != newConfig.fairQueueing.memoryKb) {
+            changedKeys.add("fair.memory_kb");
         }
-        return String.join(", ", unlike);
+        return String.join(", ", changedKeys);
     }
 
-    private static String name(ClientIdentifier callers) {
-        String kind = callers.kind().name().toLowerCase(java.util.Locale.ROOT);
-        return callers.kind() == ClientIdentifier.Kind.PARAMETER ? kind + ":" + callers.parameter() : kind;
+    private static String clientValue(ClientIdentifier identity) {
+        String kind = identity.kind().name().toLowerCase(java.util.Locale.ROOT);
+        return identity.kind() == ClientIdentifier.Kind.PARAMETER ? kind + ":" + identity.parameter() : kind;
     }
 
-    private static final class Reader {
+    private static final class Parser {
         private final String file;
-        private final TomlParseResult all;
-        private final List<String> wrong = new ArrayList<>();
+        private final TomlParseResult document;
+        private final List<String> problems = new ArrayList<>();
 
-        Reader(String file, TomlParseResult all) {
+        Parser(String file, TomlParseResult document) {
             this.file = file;
-            this.all = all;
+            this.document = document;
         }
 
-        OperatorConfig read() throws InvalidConfigException {
-            for (TomlParseError error : all.errors()) {
-                wrong.add(file + ":" + error.position().line() + ": " + error.getMessage());
+        OperatorConfig parse() throws InvalidConfigException {
+            for (TomlParseError error : document.errors()) {
+                problems.add(file + ":" + error.position().line() + ": " + error.getMessage());
             }
-            if (!wrong.isEmpty()) {
-                throw new InvalidConfigException(wrong);
+            if (!problems.isEmpty()) {
+                throw new InvalidConfigException(problems);
             }
-            only(all, "", Set.of("fair"));
-            OperatorConfig read = new OperatorConfig(fair(table(all, "", "fair")));
-            if (!wrong.isEmpty()) {
-                throw new InvalidConfigException(wrong);
+            rejectUnknownKeys(document, "", Set.of("fair"));
+            OperatorConfig config = new OperatorConfig(parseFairQueueing(tableValue(document, "", "fair")));
+            if (!problems.isEmpty()) {
+                throw new InvalidConfigException(problems);
             }
-            return read;
+            return config;
         }
 
-        private Fair fair(TomlTable t) {
-            if (t == null) {
-                return NO_FAIR;
+        private FairQueueing parseFairQueueing(TomlTable section) {
+            if (section == null) {
+                return DEFAULT_FAIR_QUEUEING;
             }
-            only(t, "fair.", Set.of("enabled", "client", "memory_kb", "weights"));
+            rejectUnknownKeys(section, "fair.", Set.of("enabled", "client", "memory_kb", "weights"));
             Map<String, Double> weights = new TreeMap<>();
-            TomlTable given = table(t, "fair.", "weights");
-            for (String tenant : given == null ? Set.<String>of() : given.keySet()) {
-                Object value = given.get(List.of(tenant));
+            TomlTable weightsSection = tableValue(section, "fair.", "weights");
+            for (String tenant : weightsSection == null ? Set.<String>of() : weightsSection.keySet()) {
+                Object value = weightsSection.get(List.of(tenant));
                 double weight = value instanceof Number n ? n.doubleValue() : 0;
                 if (weight < 0.001 || weight > 1_000_000) {
-                    complain(given, tenant, "fair.weights." + tenant, "a number from 0.001 to 1000000");
+                    addProblem(weightsSection, tenant, "fair.weights." + tenant, "a number from 0.001 to 1000000");
                 }
                 weights.put(tenant, weight);
             }
-            boolean enabled = flag(t, "fair.", "enabled", false);
-            ClientIdentifier client = client(t);
-            if (client.kind() == ClientIdentifier.Kind.TENANT && weights.isEmpty() && given != null) {
-                complain(t, "client", "fair.client", "another kind, or weights: tenants alone without weights"
+            boolean enabled = booleanValue(section, "fair.", "enabled", false);
+            ClientIdentifier clientIdentity = parseClientIdentity(section);
+            if (clientIdentity.kind() == ClientIdentifier.Kind.TENANT && weights.isEmpty() && weightsSection != null) {
+                addProblem(section, "client", "fair.client", "another kind, or weights: tenants alone without weights"
                         + " go by the settings' shares");
             }
-            return new Fair(enabled, client, (int) whole(t, "fair.", "memory_kb", NO_FAIR.memoryKb, 8, 262_144),
+            return new FairQueueing(enabled, clientIdentity, (int) integerValue(section, "fair.", "memory_kb", DEFAULT_FAIR_QUEUEING.memoryKb, 8, 262_144),
                     weights);
         }
 
-        private ClientIdentifier client(TomlTable t) {
+        private ClientIdentifier parseClientIdentity(TomlTable section) {
             String allowed = "\"key\", \"connection\", \"address\", \"tenant\" or \"parameter:NAME\"";
-            String text = typed(t, "fair.", "client", String.class, allowed);
+            String text = typedValue(section, "fair.", "client", String.class, allowed);
             if (text == null) {
-                return NO_FAIR.client;
+                return DEFAULT_FAIR_QUEUEING.clientIdentity;
             }
             switch (text) {
                 case "key", "connection", "address", "tenant" -> {
@@ -147,7 +147,7 @@
                 }
                 default -> {
                     if (!text.matches("parameter:[A-Za-z_][A-Za-z0-9_.]{0,62}")) {
-                        complain(t, "client", "fair.client", allowed + ", not \"" + text + "\"");
+                        addProblem(section, "client", "fair.client", allowed + ", not \"" + text + "\"");
                     }
                     return new ClientIdentifier(ClientIdentifier.Kind.PARAMETER, text.substring(text.indexOf(':') + 1));
                 }
@@ -156,48 +156,48 @@
 
         // ---- Kinds of values ----
 
-        private void only(TomlTable table, String path, Set<String> keys) {
+        private void rejectUnknownKeys(TomlTable table, String path, Set<String> knownKeys) {
             for (String key : table.keySet()) {
-                if (!keys.contains(key)) {
-                    complain(table, key, path + key, "one of " + String.join(", ", new java.util.TreeSet<>(keys)));
+                if (!knownKeys.contains(key)) {
+                    addProblem(table, key, path + key, "one of " + String.join(", ", new java.util.TreeSet<>(knownKeys)));
                 }
             }
         }
 
-        private TomlTable table(TomlTable in, String path, String key) {
-            return typed(in, path, key, TomlTable.class, "a section [" + path + key + "]");
+        private TomlTable tableValue(TomlTable section, String path, String key) {
+            return typedValue(section, path, key, TomlTable.class, "a section [" + path + key + "]");
         }
 
-        private boolean flag(TomlTable in, String path, String key, boolean absent) {
-            Boolean value = typed(in, path, key, Boolean.class, "true or false");
-            return value == null ? absent : value;
+        private boolean booleanValue(TomlTable section, String path, String key, boolean defaultValue) {
+            Boolean value = typedValue(section, path, key, Boolean.class, "true or false");
+            return value == null ? defaultValue : value;
         }
 
-        private long whole(TomlTable in, String path, String key, long absent, long least, long most) {
-            String allowed = "a whole number from " + least + " to " + most;
-            Long value = typed(in, path, key, Long.class, allowed);
-            if (value != null && (value < least || value > most)) {
-                complain(in, key, path + key, allowed + ", not " + value);
+        private long integerValue(TomlTable section, String path, String key, long defaultValue, long minimum, long maximum) {
+            String allowed = "a whole number from " + minimum + " to " + maximum;
+            Long value = typedValue(section, path, key, Long.class, allowed);
+            if (value != null && (value < minimum || value > maximum)) {
+                addProblem(section, key, path + key, allowed + ", not " + value);
             }
-            return value == null ? absent : value;
+            return value == null ? defaultValue : value;
         }
 
-        private <T> T typed(TomlTable in, String path, String key, Class<T> type, String allowed) {
+        private <T> T typedValue(TomlTable section, String path, String key, Class<T> type, String allowed) {
             try {
-                Object value = in.get(List.of(key));
+                Object value = section.get(List.of(key));
                 if (value == null || type.isInstance(value)) {
                     return type.cast(value);
                 }
             } catch (TomlInvalidTypeException e) {
                 // told below
             }
-            complain(in, key, path + key, allowed);
+            addProblem(section, key, path + key, allowed);
             return null;
         }
 
-        private void complain(TomlTable in, String key, String path, String allowed) {
-            TomlPosition at = in.inputPositionOf(List.of(key));
-            wrong.add(file + ":" + (at == null ? "" : at.line()) + ": " + path + ": expected " + allowed);
+        private void addProblem(TomlTable section, String key, String path, String allowed) {
+            TomlPosition position = section.inputPositionOf(List.of(key));
+            problems.add(file + ":" + (position == null ? "" : position.line()) + ": " + path + ": expected " + allowed);
         }
     }
 }
--- a/src/main/java/reedquay/ops/OperatorGateway.java
+++ b/src/main/java/reedquay/ops/OperatorGateway.java
@@ -17,29 +17,29 @@
 /** A gateway with the parts that the operators' file turns on. Loaded only where there is such a file. */
 public final class OperatorGateway {
     private static final System.Logger LOG = System.getLogger("reedquay");
-    private final Path file;
-    private final OperatorConfig operators;
-    private final AtomicReference<AdmissionController> turns = new AtomicReference<>();
+    private final Path operatorFile;
+    private final OperatorConfig config;
+    private final AtomicReference<AdmissionController> admissionController = new AtomicReference<>();
     private final Gateway gateway;
 
-    public OperatorGateway(Configuration configuration, Path file) throws IOException {
-        this.file = file;
-        operators = OperatorConfig.read(file);
-        ClientIdentifier callers = operators.fair().enabled() ? operators.fair().client() : null;
-        gateway = new Gateway(configuration, new GatewayComponents(this::decider, callers));
+    public OperatorGateway(Configuration configuration, Path operatorFile) throws IOException {
+        this.operatorFile = operatorFile;
+        config = OperatorConfig.read(operatorFile);
+        ClientIdentifier clientIdentity = config.fairQueueing().enabled() ? config.fairQueueing().clientIdentity() : null;
+        gateway = new Gateway(configuration, new GatewayComponents(this::createEngine, clientIdentity));
     }
 
     /** The Router, behind the stages that are on. */
-    private RoutingEngine decider(Settings settings, RoutingActions effects) {
-        if (!operators.fair().enabled()) {
+    private RoutingEngine createEngine(Settings settings, RoutingActions effects) {
+        if (!config.fairQueueing().enabled()) {
             return new Router(settings, effects);
         }
-        AdmissionController made = new AdmissionController(settings, operators.fair().terms(), effects);
-        made.setNext(new Router(settings, made));
-        turns.set(made);
-        LOG.log(System.Logger.Level.INFO, "fair queues at the door: " + operators.fair().terms().maxWaiting()
-                + " RPCs may wait, " + made.memoryBytes() + " bytes");
-        return made;
+        AdmissionController newController = new AdmissionController(settings, config.fairQueueing().admissionSettings(), effects);
+        newController.setNext(new Router(settings, newController));
+        admissionController.set(newController);
+        LOG.log(System.Logger.Level.INFO, "fair queues at the door: " + config.fairQueueing().admissionSettings().maxWaiting()
+                + " RPCs may wait, " + newController.memoryBytes() + " bytes");
+        return newController;
     }
 
     public Gateway gateway() {
@@ -52,15 +52,15 @@
      */
     public CompletableFuture<Boolean> reload() {
         try {
-            OperatorConfig next = OperatorConfig.read(file);
-            String unlike = operators.needsRestartFor(next);
-            if (!unlike.isEmpty()) {
-                LOG.log(System.Logger.Level.WARNING, file + " has another " + unlike
+            OperatorConfig newConfig = OperatorConfig.read(operatorFile);
+            String changedKeys = config.changedKeysNeedingRestart(newConfig);
+            if (!changedKeys.isEmpty()) {
+                LOG.log(System.Logger.Level.WARNING, operatorFile + " has another " + changedKeys
                         + ": that needs a restart and is passed over");
             }
             return gateway.runOnEventLoop(() -> {
-                if (turns.get() != null) {
-                    turns.get().setWeights(next.fair().weights());
+                if (admissionController.get() != null) {
+                    admissionController.get().setWeights(newConfig.fairQueueing().weights());
                 }
             });
         } catch (IOException e) {
