--- a/lab/src/main/java/reedquay/lab/Lab.java
+++ b/lab/src/main/java/reedquay/lab/Lab.java
@@ -8,9 +8,9 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import reedquay.lab.Crowd.Before;
-import reedquay.lab.Street.Manner;
-import reedquay.lab.Street.Stream;
+import reedquay.lab.FairQueueScenarios.AdmissionMode;
+import reedquay.lab.GatewaySimulation.RetryPolicy;
+import reedquay.lab.GatewaySimulation.RequestStream;
 
 /** Measurements that anybody can run again: each prints a table in Markdown. */
 @Command(name = "lab", mixinStandardHelpOptions = true, description = "Measurements of reedquay.",
@@ -38,7 +38,7 @@
         @Option(names = "--seconds", defaultValue = "30", description = "of each run")
         private int seconds;
         @Option(names = "--manner", defaultValue = "EAGER", description = "of the greedy one: ${COMPLETION-CANDIDATES}")
-        private Manner manner;
+        private RetryPolicy manner;
 
         @Option(names = "--verbose", description = "the door's own tables too")
         private boolean verbose;
@@ -46,7 +46,7 @@
         @Override public Integer call() {
             System.out.println("| before the Router | others' utility, without it = 1 | greedy had"
                     + " | came as told, in time | served, of capacity |\n| --- | --- | --- | --- | --- |");
-            for (Before before : Before.values()) {
+            for (AdmissionMode before : AdmissionMode.values()) {
                 List<double[]> rows = new ArrayList<>();
                 for (int seed = 1; seed <= seeds; seed++) {
                     rows.add(run(before, seed));
@@ -63,41 +63,41 @@
             return 0;
         }
 
-        private double[] run(Before before, long seed) {
+        private double[] run(AdmissionMode before, long seed) {
             double alone = 0;
             double[] figures = new double[4];
             for (boolean with : new boolean[] {false, true}) {
-                Street street = Crowd.street(Crowd.three(), seed, before, 1000);
-                List<Stream> others = new ArrayList<>();
+                GatewaySimulation street = FairQueueScenarios.simulation(FairQueueScenarios.threeTenants(), seed, before, 1000);
+                List<RequestStream> others = new ArrayList<>();
                 for (String tenant : List.of("red", "green", "blue")) {
-                    others.addAll(Crowd.even(street, tenant, clients / 3, Crowd.CHEAP, load / 3, Manner.POLITE,
-                            seconds * 1000 * Crowd.MS));
+                    others.addAll(FairQueueScenarios.addEvenClients(street, tenant, clients / 3, FairQueueScenarios.CHEAP, load / 3, RetryPolicy.POLITE,
+                            seconds * 1000 * FairQueueScenarios.MS));
                 }
-                Stream greedy = new Stream("red", "greedy", Crowd.CHEAP,
-                        with ? times * Crowd.CAPACITY / (others.size() + 1) : 0, manner, 0, seconds * 1000 * Crowd.MS);
-                street.add(greedy);
-                street.run(seconds * 1000 + 3000);
-                double share = Crowd.share(others);
+                RequestStream greedy = new RequestStream("red", "greedy", FairQueueScenarios.CHEAP,
+                        with ? times * FairQueueScenarios.CAPACITY_PER_SECOND / (others.size() + 1) : 0, manner, 0, seconds * 1000 * FairQueueScenarios.MS);
+                street.addStream(greedy);
+                street.runUntil(seconds * 1000 + 3000);
+                double share = FairQueueScenarios.utilityShare(others);
                 if (!with) {
                     alone = share;
                 } else {
-                    long told = others.stream().mapToLong(s -> s.told).sum();
-                    long inTime = others.stream().mapToLong(s -> s.toldInTime).sum();
-                    double work = greedy.work + others.stream().mapToDouble(s -> s.work).sum();
-                    figures = new double[] {share / alone, greedy.share(), told == 0 ? 1 : inTime / (double) told,
-                        work / (4.0 * seconds * 1000 * Crowd.MS)};
+                    long told = others.stream().mapToLong(s -> s.advisedRetries).sum();
+                    long inTime = others.stream().mapToLong(s -> s.advisedRetriesInTime).sum();
+                    double work = greedy.workNanos + others.stream().mapToDouble(s -> s.workNanos).sum();
+                    figures = new double[] {share / alone, greedy.utilityShare(), told == 0 ? 1 : inTime / (double) told,
+                        work / (4.0 * seconds * 1000 * FairQueueScenarios.MS)};
                 }
                 if (with && verbose) {
-                    long told = others.stream().mapToLong(s -> s.told).sum();
+                    long told = others.stream().mapToLong(s -> s.advisedRetries).sum();
                     System.out.println(before + " told " + told + " greedy rpcs " + greedy.rpcs);
-                    if (street.decider() instanceof reedquay.core.Stage stage) {
+                    if (street.engine() instanceof reedquay.core.Stage stage) {
                         for (String what : List.of("tenants", "ways", "clients")) {
                             stage.statisticsTable(what).stream().limit(8).forEach(r -> System.out.println(String.join("  ", r)));
                         }
                     }
                 }
-                if (street.broken + street.keptBack > 0) {
-                    System.err.println("broken " + street.broken + ", kept back " + street.keptBack);
+                if (street.ruleViolations + street.heldTooLong > 0) {
+                    System.err.println("broken " + street.ruleViolations + ", kept back " + street.heldTooLong);
                 }
             }
             return figures;
@@ -120,21 +120,21 @@
                 long inTime = 0;
                 double share = 0;
                 for (int seed = 1; seed <= seeds; seed++) {
-                    Street street = Crowd.street(Crowd.three(), seed, Before.CLIENTS, 1000);
-                    List<Stream> all = new ArrayList<>();
+                    GatewaySimulation street = FairQueueScenarios.simulation(FairQueueScenarios.threeTenants(), seed, AdmissionMode.CLIENTS, 1000);
+                    List<RequestStream> all = new ArrayList<>();
                     for (String tenant : List.of("red", "green", "blue")) {
-                        all.addAll(Crowd.even(street, tenant, 16, Crowd.CHEAP, load / 3, Manner.POLITE,
-                                20_000 * Crowd.MS));
+                        all.addAll(FairQueueScenarios.addEvenClients(street, tenant, 16, FairQueueScenarios.CHEAP, load / 3, RetryPolicy.POLITE,
+                                20_000 * FairQueueScenarios.MS));
                     }
-                    street.run(23_000);
-                    all.forEach(s -> took.add(s.error));
-                    told += all.stream().mapToLong(s -> s.told).sum();
-                    inTime += all.stream().mapToLong(s -> s.toldInTime).sum();
-                    share += Crowd.share(all) / seeds;
+                    street.runUntil(23_000);
+                    all.forEach(s -> took.add(s.advisedRetryLatency));
+                    told += all.stream().mapToLong(s -> s.advisedRetries).sum();
+                    inTime += all.stream().mapToLong(s -> s.advisedRetriesInTime).sum();
+                    share += FairQueueScenarios.utilityShare(all) / seeds;
                 }
                 System.out.printf(Locale.ROOT, "| %.1f | %,d | %.3f | %d | %d | %d | %.3f |%n", load, told,
-                        inTime / (double) told, took.getValueAtPercentile(50) / Crowd.MS,
-                        took.getValueAtPercentile(90) / Crowd.MS, took.getValueAtPercentile(99) / Crowd.MS, share);
+                        inTime / (double) told, took.getValueAtPercentile(50) / FairQueueScenarios.MS,
+                        took.getValueAtPercentile(90) / FairQueueScenarios.MS, took.getValueAtPercentile(99) / FairQueueScenarios.MS, share);
             }
             return 0;
         }
@@ -152,24 +152,24 @@
         @Override public Integer call() {
             System.out.println("| before the Router | least Jain's index of RPCs served in 5 s,"
                     + " of 5 windows |\n| --- | --- |");
-            for (Before before : List.of(Before.CLIENTS, Before.FIRST_COME, Before.NOTHING)) {
-                Street street = Crowd.street(Crowd.three(), 1, before, 20_000, cores);
-                List<Stream> all = Crowd.even(street, "red", clients, Crowd.CHEAP, cores, Manner.POLITE,
-                        30_000 * Crowd.MS);
+            for (AdmissionMode before : List.of(AdmissionMode.CLIENTS, AdmissionMode.FIRST_COME, AdmissionMode.NOTHING)) {
+                GatewaySimulation street = FairQueueScenarios.simulation(FairQueueScenarios.threeTenants(), 1, before, 20_000, cores);
+                List<RequestStream> all = FairQueueScenarios.addEvenClients(street, "red", clients, FairQueueScenarios.CHEAP, cores, RetryPolicy.POLITE,
+                        30_000 * FairQueueScenarios.MS);
                 double[] last = new double[clients];
                 double[] least = {1};
                 for (int at = 5; at <= 30; at += 5) {
                     boolean first = at == 5;
-                    street.at(at * 1000, () -> {
+                    street.runAt(at * 1000, () -> {
                         double[] had = new double[clients];
                         for (int i = 0; i < clients; i++) {
                             had[i] = all.get(i).served - last[i];
                             last[i] = all.get(i).served;
                         }
-                        least[0] = first ? 1 : Math.min(least[0], Crowd.jain(had));
+                        least[0] = first ? 1 : Math.min(least[0], FairQueueScenarios.jainIndex(had));
                     });
                 }
-                street.run(31_000);
+                street.runUntil(31_000);
                 System.out.printf(Locale.ROOT, "| %s | %.4f |%n", before.name().toLowerCase(Locale.ROOT), least[0]);
             }
             return 0;
--- a/lab/src/main/java/reedquay/lab/Load.java
+++ b/lab/src/main/java/reedquay/lab/Load.java
@@ -24,7 +24,7 @@
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import reedquay.lab.Street.Manner;
+import reedquay.lab.GatewaySimulation.RetryPolicy;
 import reedquay.net.Configuration;
 import reedquay.net.Gateway;
 import reedquay.ops.OperatorGateway;
@@ -55,7 +55,7 @@
     @Option(names = "--greedy", defaultValue = "0", description = "requests a second of one client more")
     private double greedy;
     @Option(names = "--manner", defaultValue = "EAGER", description = "of the greedy one: ${COMPLETION-CANDIDATES}")
-    private Manner manner;
+    private RetryPolicy manner;
     @Option(names = "--seconds", defaultValue = "10", description = "of load, after two of warming up")
     private int seconds;
     @Option(names = "--seed", defaultValue = "1", description = "of the script")
@@ -96,7 +96,7 @@
     private static final class Request {
         final String caller;
         final Had had;
-        final Manner manner;
+        final RetryPolicy manner;
         final long meant; // when the script has it
         long asked; // this try
         int tries;
@@ -104,7 +104,7 @@
         boolean asTold;
         boolean done;
 
-        Request(String caller, Had had, Manner manner, long meant) {
+        Request(String caller, Had had, RetryPolicy manner, long meant) {
             this.caller = caller;
             this.had = had;
             this.manner = manner;
@@ -136,7 +136,7 @@
         end = counted + seconds * 1_000_000_000L;
         loop.execute(() -> {
             for (int i = 0; i < clients; i++) {
-                next("even" + i, even, Manner.POLITE, perSecond / clients, began);
+                next("even" + i, even, RetryPolicy.POLITE, perSecond / clients, began);
             }
             if (greedy > 0) {
                 next("greedy", much, manner, greedy, began);
@@ -171,7 +171,7 @@
 
     // ---- The script ----
 
-    private void next(String caller, Had had, Manner how, double rate, long after) {
+    private void next(String caller, Had had, RetryPolicy how, double rate, long after) {
         long meant = after + (long) (-Math.log(1 - random.nextDouble()) / rate * 1e9);
         if (meant >= end) {
             return;
@@ -227,10 +227,10 @@
         boolean back = code.equals("53300") || code.equals("57P03");
         r.had.pushedBack += r.counts && back ? 1 : 0;
         r.had.failed += r.counts && !back ? 1 : 0;
-        if (!back || now > end || r.manner != Manner.DEAF && r.tries > 3) {
+        if (!back || now > end || r.manner != RetryPolicy.DEAF && r.tries > 3) {
             return;
         }
-        boolean polite = r.manner == Manner.POLITE;
+        boolean polite = r.manner == RetryPolicy.POLITE;
         long wait = !polite ? 1 : after > 0 ? after : softMillis;
         loop.schedule(() -> {
             r.asTold = polite && after > 0;
