--- a/lab/src/main/java/reedquay/lab/Lab.java
+++ b/lab/src/main/java/reedquay/lab/Lab.java
@@ -15,7 +15,7 @@
 /** Measurements that anybody can run again: each prints a table in Markdown. */
 @Command(name = "lab", mixinStandardHelpOptions = true, description = "Measurements of reedquay.",
         subcommands = {Lab.Greedy.class, Lab.Promised.class, Lab.Even.class, Lab.Disciplines.class, Lab.Cost.class,
-            Load.class, FleetCommand.class, Why.class, Played.class})
+            LoadGenerator.class, FleetCommand.class, Why.class, Played.class})
 public final class Lab {
     private Lab() { }
 
