--- a/lab/src/main/java/reedquay/lab/Played.java
+++ b/lab/src/main/java/reedquay/lab/JournalTable.java
@@ -26,7 +26,7 @@
  */
 @Command(name = "played", mixinStandardHelpOptions = true,
         description = "The days of journal entries, with what was served of each method and what was wanted.")
-final class Played implements Callable<Integer> {
+final class JournalTable implements Callable<Integer> {
     @Spec private CommandSpec spec;
     @Parameters(paramLabel = "JOURNAL", description = "the folder of entries, or one entry")
     private Path journal;
@@ -41,8 +41,8 @@
         }
         System.out.println("| entry | Router's text | day, seed | gateways, members | served (gate)"
                 + " | methods: served / wanted | least | rules broken |\n" + "| --- ".repeat(8) + "|");
-        int passedOver = 0;
-        for (Path file : entries(journal)) {
+        int skipped = 0;
+        for (Path file : entryFiles(journal)) {
             if (since != null && file.getFileName().toString().compareTo(since) < 0) {
                 continue;
             }
@@ -50,14 +50,14 @@
                 JsonObject entry = JsonParser.parseString(Files.readString(file)).getAsJsonObject();
                 rows(entry, day).forEach(System.out::println);
             } catch (JsonParseException | IllegalStateException | ClassCastException | NullPointerException e) {
-                passedOver++;
+                skipped++;
                 System.err.println(file + " is no entry of this kind and is passed over");
             }
         }
-        return passedOver == 0 ? 0 : 1;
+        return skipped == 0 ? 0 : 1;
     }
 
-    private static List<Path> entries(Path journal) throws IOException {
+    private static List<Path> entryFiles(Path journal) throws IOException {
         try (Stream<Path> files = Files.isDirectory(journal) ? Files.list(journal) : Stream.of(journal)) {
             return files.filter(f -> f.toString().endsWith(".json")).sorted().toList();
         }
@@ -67,28 +67,28 @@
     static List<String> rows(JsonObject entry, String day) {
         List<String> rows = new ArrayList<>();
         for (JsonElement element : entry.has("days") ? entry.getAsJsonArray("days") : new JsonArray()) {
-            JsonObject d = element.getAsJsonObject();
-            if (!d.has("by_class") || d.get("by_class").isJsonNull()
-                    || day != null && !day.equals(d.get("name").getAsString())) {
+            JsonObject dayObject = element.getAsJsonObject();
+            if (!dayObject.has("by_class") || dayObject.get("by_class").isJsonNull()
+                    || day != null && !day.equals(dayObject.get("name").getAsString())) {
                 continue;
             }
-            List<String> each = new ArrayList<>();
+            List<String> shares = new ArrayList<>();
             double least = Double.MAX_VALUE;
-            for (JsonElement method : d.getAsJsonArray("by_class")) {
-                JsonArray m = method.getAsJsonArray();
-                each.add(String.format(Locale.ROOT, "%s %.3f / %.3f", m.get(0).getAsString(), m.get(1).getAsDouble(),
-                        m.get(2).getAsDouble()));
-                least = Math.min(least, m.get(1).getAsDouble() / m.get(2).getAsDouble());
+            for (JsonElement method : dayObject.getAsJsonArray("by_class")) {
+                JsonArray share = method.getAsJsonArray();
+                shares.add(String.format(Locale.ROOT, "%s %.3f / %.3f", share.get(0).getAsString(), share.get(1).getAsDouble(),
+                        share.get(2).getAsDouble()));
+                least = Math.min(least, share.get(1).getAsDouble() / share.get(2).getAsDouble());
             }
-            List<String> broken = new ArrayList<>();
-            d.getAsJsonObject("rules").entrySet().stream().filter(r -> r.getValue().getAsInt() > 0)
-                    .forEach(r -> broken.add(r.getKey() + " " + r.getValue()));
-            String text = entry.getAsJsonArray("policy").get(0).getAsJsonObject().get("sha256").getAsString();
+            List<String> violations = new ArrayList<>();
+            dayObject.getAsJsonObject("rules").entrySet().stream().filter(r -> r.getValue().getAsInt() > 0)
+                    .forEach(r -> violations.add(r.getKey() + " " + r.getValue()));
+            String checksum = entry.getAsJsonArray("policy").get(0).getAsJsonObject().get("sha256").getAsString();
             rows.add(String.format(Locale.ROOT, "| %s | %s | %s %s | %s, %s | %.3f (%.3f) | %s | %.2f | %s |",
-                    entry.get("id").getAsString(), text.substring(0, Math.min(8, text.length())),
-                    d.get("name").getAsString(), d.get("seed").getAsString(), d.get("nodes").getAsString(),
-                    d.get("servers").getAsString(), d.get("served").getAsDouble(), d.get("served_least").getAsDouble(),
-                    String.join("; ", each), least, broken.isEmpty() ? "none" : String.join(", ", broken)));
+                    entry.get("id").getAsString(), checksum.substring(0, Math.min(8, checksum.length())),
+                    dayObject.get("name").getAsString(), dayObject.get("seed").getAsString(), dayObject.get("nodes").getAsString(),
+                    dayObject.get("servers").getAsString(), dayObject.get("served").getAsDouble(), dayObject.get("served_least").getAsDouble(),
+                    String.join("; ", shares), least, violations.isEmpty() ? "none" : String.join(", ", violations)));
         }
         return rows;
     }
--- a/lab/src/main/java/reedquay/lab/Lab.java
+++ b/lab/src/main/java/reedquay/lab/Lab.java
@@ -15,7 +15,7 @@
 /** Measurements that anybody can run again: each prints a table in Markdown. */
 @Command(name = "lab", mixinStandardHelpOptions = true, description = "Measurements of reedquay.",
         subcommands = {Lab.GreedyClient.class, Lab.RetryAfterAccuracy.class, Lab.EvenClients.class, Lab.QueueDisciplines.class, Lab.AdmissionCost.class,
-            LoadGenerator.class, FleetCommand.class, Why.class, Played.class})
+            LoadGenerator.class, FleetCommand.class, TraceSummary.class, JournalTable.class})
 public final class Lab {
     private Lab() { }
 
