--- a/example/StandIn.java
+++ b/example/StandIn.java
@@ -46,23 +46,23 @@
     private static final Pattern WRITE = Pattern.compile(
             "INSERT INTO facts \\(code, data\\) VALUES \\('([^']*)', '([^']*)'\\) RETURNING data.*");
 
-    private record Fact(long position, String code, String data) { }
+    private record Row(long position, String code, String data) { }
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final Map<String, Server> servers = new LinkedHashMap<>();
-    private final List<Fact> log = new ArrayList<>();
+    private final List<Row> commitLog = new ArrayList<>();
     private final Set<Channel> watches = new LinkedHashSet<>();
-    private Channel discovery;
-    private final long beatMillis;
-    private long lastCommit;
+    private Channel discoveryListener;
+    private final long heartbeatMillis;
+    private long lastCommitPosition;
     private long generation;
     /** What a watch asked for, in their order. */
     public final List<String> watchRequests = new CopyOnWriteArrayList<>();
     public volatile boolean discoverySilent;
 
     /** discoveryPort 0: the system chooses. The first member is the primary. */
-    public StandIn(int discoveryPort, long beatMillis, String... names) {
-        this.beatMillis = beatMillis;
+    public StandIn(int discoveryPort, long heartbeatMillis, String... names) {
+        this.heartbeatMillis = heartbeatMillis;
         for (String name : names) {
             Server server = new Server(name, servers.isEmpty());
             servers.put(name, server);
@@ -71,17 +71,17 @@
         moveDiscovery(discoveryPort);
         group.next().scheduleAtFixedRate(() -> {
             if (!discoverySilent) {
-                watches.forEach(w -> line(w, ""));
+                watches.forEach(w -> writeLine(w, ""));
             }
-        }, beatMillis, beatMillis, TimeUnit.MILLISECONDS);
+        }, heartbeatMillis, heartbeatMillis, TimeUnit.MILLISECONDS);
     }
 
     /** Discovery listens at another port, 0 for any; the old one takes no new watch and keeps those it has. */
     public void moveDiscovery(int port) {
-        if (discovery != null) {
-            discovery.close().syncUninterruptibly();
+        if (discoveryListener != null) {
+            discoveryListener.close().syncUninterruptibly();
         }
-        discovery = listen(port, new ChannelInitializer<Channel>() {
+        discoveryListener = listen(port, new ChannelInitializer<Channel>() {
             @Override protected void initChannel(Channel channel) {
                 channel.pipeline().addLast(new HttpServerCodec(), new Watch());
             }
@@ -100,7 +100,7 @@
     }
 
     public InetSocketAddress discoveryAddress() {
-        return (InetSocketAddress) discovery.localAddress();
+        return (InetSocketAddress) discoveryListener.localAddress();
     }
 
     private Channel listen(int port, ChannelHandler handler) {
@@ -138,8 +138,8 @@
         /** How long a statement takes its one core, in microseconds; 0: none. Others wait, up to so many. */
         public volatile long workMicros;
         public volatile int maxQueuedStatements = 1000;
-        private int queued;
-        private long freeAt;
+        private int queuedStatements;
+        private long freeAtNanos;
         /** Statements that came in whole, probes left out. */
         public final List<String> statements = new CopyOnWriteArrayList<>();
         public final List<String> probes = new CopyOnWriteArrayList<>();
@@ -161,8 +161,8 @@
         }
 
         /** Listens; port 0 is chosen by the system. */
-        public void start(int at) {
-            listener = listen(at, new ChannelInitializer<Channel>() {
+        public void start(int atPort) {
+            listener = listen(atPort, new ChannelInitializer<Channel>() {
                 @Override protected void initChannel(Channel channel) {
                     channel.pipeline().addLast(FrameDecoder.forClient(1 << 20), new Session(Server.this));
                 }
@@ -218,7 +218,7 @@
                         ctx.write(Messages.readyForQuery(Messages.startupResponse(ctx.alloc().buffer(), 1, 1)));
                     }
                 } else if (frame.type == 'Q') {
-                    query(ctx, frame.stringAt(0));
+                    handleQuery(ctx, frame.stringAt(0));
                 } else {
                     ctx.close();
                 }
@@ -228,7 +228,7 @@
             }
         }
 
-        private void query(ChannelHandlerContext ctx, String text) {
+        private void handleQuery(ChannelHandlerContext ctx, String text) {
             ByteBuf out = ctx.alloc().buffer();
             if (text.equals("SELECT 1") || text.equals("SHOW server_load")) {
                 server.probes.add(text);
@@ -236,7 +236,7 @@
                     out.release();
                     return;
                 }
-                row(out, text.equals("SELECT 1") ? "1" : "x0=" + server.position() / 1000.0);
+                writeResult(out, text.equals("SELECT 1") ? "1" : "x0=" + server.position() / 1000.0);
                 ctx.write(Messages.readyForQuery(out));
                 return;
             }
@@ -246,28 +246,28 @@
             }
             server.statements.add(text);
             if (server.workMicros > 0) {
-                work(ctx, out, text);
+                queueStatement(ctx, out, text);
                 return;
             }
-            answered(ctx, out, text);
+            respond(ctx, out, text);
         }
 
-        private void work(ChannelHandlerContext ctx, ByteBuf out, String text) {
-            if (server.queued >= server.maxQueuedStatements) {
-                refuse(ctx, out, "53300");
+        private void queueStatement(ChannelHandlerContext ctx, ByteBuf out, String text) {
+            if (server.queuedStatements >= server.maxQueuedStatements) {
+                writeError(ctx, out, "53300");
                 return;
             }
-            server.queued++;
+            server.queuedStatements++;
             long now = System.nanoTime();
-            server.freeAt = Math.max(now, server.freeAt) + server.workMicros * 1000;
+            server.freeAtNanos = Math.max(now, server.freeAtNanos) + server.workMicros * 1000;
             ctx.executor().schedule(() -> {
-                server.queued--;
-                answered(ctx, out, text);
+                server.queuedStatements--;
+                respond(ctx, out, text);
                 ctx.flush();
-            }, server.freeAt - now, TimeUnit.NANOSECONDS);
+            }, server.freeAtNanos - now, TimeUnit.NANOSECONDS);
         }
 
-        private void answered(ChannelHandlerContext ctx, ByteBuf out, String text) {
+        private void respond(ChannelHandlerContext ctx, ByteBuf out, String text) {
             switch (server.fault) {
                 case "silent" -> out.release();
                 case "reset" -> {
@@ -276,37 +276,37 @@
                 }
                 case "garbage" -> ctx.write(out.writeByte('?').writeInt(77));
                 case "", "half", "norow", "tworows", "backwards", "misfit", "huge", "unended", "twice", "noise",
-                    "future" -> answer(ctx, out, text.replaceFirst("^/\\*.*?\\*/\\s*", ""), text.startsWith("/*"));
-                default -> refuse(ctx, out, server.fault);
+                    "future" -> execute(ctx, out, text.replaceFirst("^/\\*.*?\\*/\\s*", ""), text.startsWith("/*"));
+                default -> writeError(ctx, out, server.fault);
             }
         }
 
-        private void refuse(ChannelHandlerContext ctx, ByteBuf out, String code) {
+        private void writeError(ChannelHandlerContext ctx, ByteBuf out, String code) {
             Messages.errorResponse(out, "ERROR", code, "as told", null);
-            ctx.write(Messages.readyForQuery(about(out, server.position())));
+            ctx.write(Messages.readyForQuery(writePositionAndRole(out, server.position())));
         }
 
-        private void answer(ChannelHandlerContext ctx, ByteBuf out, String sql, boolean commented) {
+        private void execute(ChannelHandlerContext ctx, ByteBuf out, String sql, boolean commented) {
             Matcher write = WRITE.matcher(sql);
             Matcher read = READ.matcher(sql);
             if (!commented || !write.matches() && !read.matches()) {
-                refuse(ctx, out, "08P01");
+                writeError(ctx, out, "08P01");
             } else if (write.matches() && !server.primary) {
-                refuse(ctx, out, "25006");
+                writeError(ctx, out, "25006");
             } else {
                 long position = server.position();
                 String data = "";
                 if (write.matches()) {
                     data = write.group(2);
-                    position = lastCommit = Math.max(position, lastCommit + 1);
-                    log.add(new Fact(position, write.group(1), data));
+                    position = lastCommitPosition = Math.max(position, lastCommitPosition + 1);
+                    commitLog.add(new Row(position, write.group(1), data));
                 } else {
-                    for (Fact fact : log) {
+                    for (Row fact : commitLog) {
                         data = fact.code.equals(read.group(1)) && fact.position <= position ? fact.data : data;
                     }
                 }
                 int from = out.writerIndex();
-                row(out, data);
+                writeResult(out, data);
                 int description = 5 + out.getInt(from + 1) - 4;
                 int row = from + description;
                 int completion = row + 1 + out.getInt(row + 1);
@@ -315,9 +315,9 @@
                             .writerIndex(out.writerIndex() - (completion - row));
                     case "tworows" -> out.writerIndex(completion).writeBytes(out.copy(row, completion - row));
                     case "backwards" -> {
-                        ByteBuf good = out.copy(from, out.writerIndex() - from);
-                        out.writerIndex(from).writeBytes(good, description, completion - row)
-                                .writeBytes(good, 0, description);
+                        ByteBuf result = out.copy(from, out.writerIndex() - from);
+                        out.writerIndex(from).writeBytes(result, description, completion - row)
+                                .writeBytes(result, 0, description);
                     }
                     case "misfit" -> out.setInt(row + 7, out.getInt(row + 7) + 1);
                     case "huge" -> out.setInt(row + 1, Integer.MAX_VALUE - 9);
@@ -329,7 +329,7 @@
                     ctx.close();
                     return;
                 }
-                Messages.readyForQuery(about(out, server.fault.equals("future") ? 1L << 60 : position));
+                Messages.readyForQuery(writePositionAndRole(out, server.fault.equals("future") ? 1L << 60 : position));
                 ByteBuf all = out.copy();
                 ctx.write(out);
                 if (server.fault.equals("twice") || server.fault.equals("noise")) {
@@ -339,12 +339,12 @@
             }
         }
 
-        private ByteBuf about(ByteBuf out, long position) {
+        private ByteBuf writePositionAndRole(ByteBuf out, long position) {
             Messages.parameterStatus(out, "node_role", server.primary ? "leader" : "follower");
             return Messages.parameterStatus(out, "replay_position", Long.toString(position));
         }
 
-        private void row(ByteBuf out, String value) {
+        private void writeResult(ByteBuf out, String value) {
             Messages.commandComplete(Messages.dataRow(Messages.rowDescription(out, "data"), value), "SELECT 1");
         }
     }
@@ -355,8 +355,8 @@
     public void announce(String... names) {
         runOnEventLoop(() -> {
             generation++;
-            String text = list(false, names.length == 0 ? servers.keySet().toArray(new String[0]) : names);
-            watches.forEach(w -> line(w, text));
+            String text = listJson(false, names.length == 0 ? servers.keySet().toArray(new String[0]) : names);
+            watches.forEach(w -> writeLine(w, text));
         });
     }
 
@@ -371,21 +371,21 @@
     }
 
     /** The list as discovery writes it. */
-    public String list(boolean full, String... names) {
+    public String listJson(boolean full, String... names) {
         StringBuilder out = new StringBuilder("{\"generation\":" + generation + ",\"reset\":" + full
                 + ",\"instances\":[");
         for (String name : names) {
-            Server s = servers.get(name);
+            Server server = servers.get(name);
             out.append(out.charAt(out.length() - 1) == '[' ? "" : ",").append("{\"instanceId\":\"").append(name)
-                    .append("\",\"hostPort\":\"127.0.0.1:").append(s.port).append("\",\"zone\":\"a\",\"cell\":1,")
-                    .append("\"lifecycle\":\"").append(s.lifecycle).append("\",\"weight\":1.0,\"startedAtMs\":")
-                    .append(s.startedAtMs).append(",\"role\":\"").append(s.primary ? "leader" : "follower")
+                    .append("\",\"hostPort\":\"127.0.0.1:").append(server.port).append("\",\"zone\":\"a\",\"cell\":1,")
+                    .append("\"lifecycle\":\"").append(server.lifecycle).append("\",\"weight\":1.0,\"startedAtMs\":")
+                    .append(server.startedAtMs).append(",\"role\":\"").append(server.primary ? "leader" : "follower")
                     .append("\",\"unknown\":[1,{}]}");
         }
         return out.append("]}").toString();
     }
 
-    private static void line(Channel watch, String text) {
+    private static void writeLine(Channel watch, String text) {
         // in two pieces, as a network may cut it
         int half = text.length() / 2;
         watch.writeAndFlush(new DefaultHttpContent(
@@ -402,7 +402,7 @@
                 head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
                 ctx.writeAndFlush(head);
                 if (!discoverySilent) {
-                    line(ctx.channel(), list(true, servers.keySet().toArray(new String[0])));
+                    writeLine(ctx.channel(), listJson(true, servers.keySet().toArray(new String[0])));
                 }
                 watches.add(ctx.channel());
             }
@@ -421,17 +421,17 @@
     /** A primary and two replicas; the one argument is discovery's port. Commands come on standard input. */
     public static void main(String[] args) throws IOException {
         int port = args.length > 0 ? Integer.parseInt(args[0]) : 8500;
-        try (StandIn toy = new StandIn(port, 2000, "one", "two", "three");
-                BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
-            toy.servers.values().forEach(s -> System.out.println(s.name + " listens on 127.0.0.1:" + s.port));
-            System.out.println("discovery listens on " + toy.discoveryAddress() + "\n" + HELP);
-            for (String line = in.readLine(); line != null && !line.equals("quit"); line = in.readLine()) {
-                System.out.println(toy.command(line.strip().split("\\s+")));
+        try (StandIn standIn = new StandIn(port, 2000, "one", "two", "three");
+                BufferedReader input = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
+            standIn.servers.values().forEach(s -> System.out.println(s.name + " listens on 127.0.0.1:" + s.port));
+            System.out.println("discovery listens on " + standIn.discoveryAddress() + "\n" + HELP);
+            for (String line = input.readLine(); line != null && !line.equals("quit"); line = input.readLine()) {
+                System.out.println(standIn.runCommand(line.strip().split("\\s+")));
             }
         }
     }
 
-    private String command(String[] words) {
+    private String runCommand(String[] words) {
         Server server = words.length < 2 ? null : servers.get(words[1]);
         if (server == null || (words[0].equals("lag") || words[0].equals("fault")) && words.length < 3) {
             return HELP;
