--- a/lab/src/main/java/reedquay/lab/FairQueueScenarios.java
+++ b/lab/src/main/java/reedquay/lab/FairQueueScenarios.java
@@ -54,14 +54,14 @@
     }
 
     public static BiFunction<Settings, RoutingActions, RoutingEngine> engineFactory(AdmissionMode admissionMode, int maxWaiting) {
-        return (settings, effects) -> {
+        return (settings, actions) -> {
             if (admissionMode == AdmissionMode.NOTHING) {
-                return new Router(settings, effects);
+                return new Router(settings, actions);
             }
             Settings visibleSettings = admissionMode != AdmissionMode.FIRST_COME ? settings : new Settings(settings.seed(), settings.zone(),
                     settings.gatewayIndex(), settings.gatewayCount(), settings.tick(), settings.methods(), List.of(),
                     settings.capabilities(), settings.rules(), settings.positionSources(), settings.costs());
-            AdmissionController admissionController = new AdmissionController(visibleSettings, new AdmissionSettings(maxWaiting, Map.of()), effects);
+            AdmissionController admissionController = new AdmissionController(visibleSettings, new AdmissionSettings(maxWaiting, Map.of()), actions);
             Stage outermost = admissionMode == AdmissionMode.CLIENTS ? admissionController : new Stage(admissionController) {
                 @Override public void rpcArrived(Rpc rpc) { // tells the door less than it could know
                     rpc.clientId = admissionMode == AdmissionMode.FIRST_COME ? "all" : null;
--- a/src/main/java/reedquay/ops/OperatorConfig.java
+++ b/src/main/java/reedquay/ops/OperatorConfig.java
@@ -18,18 +18,24 @@
 import reedquay.net.ClientIdentifier;
 
 /**
- * The operators' own file, TOML, a section a subsystem. Every key is checked; what is wrong is told with file, line,
- * key and what is allowed, all of it at once. Keys that take effect while a gateway runs are named by LIVE.
+ * The operators' configuration file: TOML with one section per subsystem. Every key is validated, and all problems of a
+ * file are reported together, each with file, line, key and the allowed values. {@link #RELOADABLE_KEYS} lists the keys
+ * that take effect while a gateway runs.
  */
 public record OperatorConfig(FairQueueing fairQueueing) {
-    /** Fair queues at the door; memoryKb: what those that wait may take, messages left out. */
-    public record FairQueueing(boolean enabled, ClientIdentifier clientIdentity, int memoryKb, Map<String, Double> weights) {
+    /**
+     * Settings of admission control by fair queues. memoryKb limits the memory, in KiB, of all queued RPCs together,
+     * without their messages; weights are by tenant name.
+     */
+    public record FairQueueing(boolean enabled, ClientIdentifier clientIdentifier, int memoryKb,
+            Map<String, Double> weights) {
+        /** The same settings in the form that the admission controller takes. */
         public AdmissionSettings admissionSettings() {
             return new AdmissionSettings(AdmissionSettings.maxWaitingWithin(memoryKb * 1024L), weights);
         }
     }
 
-    /** What is wrong with a file, a line each: file:line: key: what is allowed instead. */
+    /** Reports an invalid file. The message has one line per problem: {@code FILE:LINE: KEY: expected ...}. */
     public static final class InvalidConfigException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -38,40 +44,47 @@
         }
     }
 
-    /** Keys whose change a running gateway takes on; all others need a restart. */
+    /** Keys whose changes a running gateway applies on reload; changes of all others need a restart. */
     public static final Set<String> RELOADABLE_KEYS = Set.of("fair.weights");
 
-    private static final FairQueueing DEFAULT_FAIR_QUEUEING = new FairQueueing(false, new ClientIdentifier(ClientIdentifier.Kind.KEY, ""), 512, Map.of());
+    private static final FairQueueing DEFAULT_FAIR_QUEUEING =
+            new FairQueueing(false, new ClientIdentifier(ClientIdentifier.Kind.KEY, ""), 512, Map.of());
 
-    /** Reads the file. Throws IOException where it can't be read, Unfit where something in it is not allowed. */
+    /**
+     * Reads and validates a file.
+     *
+     * @throws IOException if the file cannot be read
+     * @throws InvalidConfigException if the file is not valid TOML or has an unknown key or a value that is not allowed
+     */
     public static OperatorConfig read(Path file) throws IOException {
         return new Parser(file.toString(), Toml.parse(Files.readString(file))).parse();
     }
 
-    /** The same from a text; name: what to call it in complaints. */
+    /** Parses and validates a text; sourceName stands for the file name in error messages. */
     static OperatorConfig parse(String sourceName, String text) throws InvalidConfigException {
         return new Parser(sourceName, Toml.parse(text)).parse();
     }
 
-    /** What would be in force, a line a key, in the form of the file. */
+    /** Returns the effective configuration, defaults included, as lines of a valid file with one key per line. */
     public List<String> effectiveLines() {
         List<String> lines = new ArrayList<>();
         lines.add("[fair]");
         lines.add("enabled = " + fairQueueing.enabled);
-        lines.add("client = \"" + clientValue(fairQueueing.clientIdentity) + "\"");
-        lines.add("memory_kb = " + fairQueueing.memoryKb + "  # " + fairQueueing.admissionSettings().maxWaiting() + " RPCs may wait");
+        lines.add("client = \"" + clientValue(fairQueueing.clientIdentifier) + "\"");
+        lines.add("memory_kb = " + fairQueueing.memoryKb + "  # " + fairQueueing.admissionSettings().maxWaiting()
+                + " RPCs may wait");
         lines.add("[fair.weights]");
         fairQueueing.weights.forEach((tenant, weight) -> lines.add("\"" + tenant + "\" = " + weight));
         return lines;
     }
 
-    /** What the next file changes that a running gateway can't take on, in words; empty for nothing. */
+    /** Returns the keys that differ in the new configuration and need a restart, separated by commas; may be empty. */
     public String changedKeysNeedingRestart(OperatorConfig newConfig) {
         List<String> changedKeys = new ArrayList<>();
         if (fairQueueing.enabled != newConfig.fairQueueing.enabled) {
             changedKeys.add("fair.enabled");
         }
-        if (!fairQueueing.clientIdentity.equals(newConfig.fairQueueing.clientIdentity)) {
+        if (!fairQueueing.clientIdentifier.equals(newConfig.fairQueueing.clientIdentifier)) {
             changedKeys.add("fair.client");
         }
         if (fairQueueing.memoryKb != newConfig.fairQueueing.memoryKb) {
@@ -80,11 +93,13 @@
         return String.join(", ", changedKeys);
     }
 
-    private static String clientValue(ClientIdentifier identity) {
-        String kind = identity.kind().name().toLowerCase(java.util.Locale.ROOT);
-        return identity.kind() == ClientIdentifier.Kind.PARAMETER ? kind + ":" + identity.parameter() : kind;
+    /** Returns the value of the key fair.client that selects the identifier. */
+    private static String clientValue(ClientIdentifier identifier) {
+        String kind = identifier.kind().name().toLowerCase(java.util.Locale.ROOT);
+        return identifier.kind() == ClientIdentifier.Kind.PARAMETER ? kind + ":" + identifier.parameter() : kind;
     }
 
+    /** Converts one parsed TOML document and collects its problems. */
     private static final class Parser {
         private final String file;
         private final TomlParseResult document;
@@ -126,24 +141,26 @@
                 weights.put(tenant, weight);
             }
             boolean enabled = booleanValue(section, "fair.", "enabled", false);
-            ClientIdentifier clientIdentity = parseClientIdentity(section);
-            if (clientIdentity.kind() == ClientIdentifier.Kind.TENANT && weights.isEmpty() && weightsSection != null) {
+            ClientIdentifier clientIdentifier = parseClientIdentifier(section);
+            if (clientIdentifier.kind() == ClientIdentifier.Kind.TENANT && weights.isEmpty()
+                    && weightsSection != null) {
                 addProblem(section, "client", "fair.client", "another kind, or weights: tenants alone without weights"
                         + " go by the settings' shares");
             }
-            return new FairQueueing(enabled, clientIdentity, (int) integerValue(section, "fair.", "memory_kb", DEFAULT_FAIR_QUEUEING.memoryKb, 8, 262_144),
-                    weights);
+            return new FairQueueing(enabled, clientIdentifier, (int) integerValue(section, "fair.", "memory_kb",
+                    DEFAULT_FAIR_QUEUEING.memoryKb, 8, 262_144), weights);
         }
 
-        private ClientIdentifier parseClientIdentity(TomlTable section) {
+        private ClientIdentifier parseClientIdentifier(TomlTable section) {
             String allowed = "\"key\", \"connection\", \"address\", \"tenant\" or \"parameter:NAME\"";
             String text = typedValue(section, "fair.", "client", String.class, allowed);
             if (text == null) {
-                return DEFAULT_FAIR_QUEUEING.clientIdentity;
+                return DEFAULT_FAIR_QUEUEING.clientIdentifier;
             }
             switch (text) {
                 case "key", "connection", "address", "tenant" -> {
-                    return new ClientIdentifier(ClientIdentifier.Kind.valueOf(text.toUpperCase(java.util.Locale.ROOT)), "");
+                    return new ClientIdentifier(
+                            ClientIdentifier.Kind.valueOf(text.toUpperCase(java.util.Locale.ROOT)), "");
                 }
                 default -> {
                     if (!text.matches("parameter:[A-Za-z_][A-Za-z0-9_.]{0,62}")) {
@@ -154,12 +171,13 @@
             }
         }
 
-        // ---- Kinds of values ----
+        // ---- Typed values ----
 
         private void rejectUnknownKeys(TomlTable table, String path, Set<String> knownKeys) {
             for (String key : table.keySet()) {
                 if (!knownKeys.contains(key)) {
-                    addProblem(table, key, path + key, "one of " + String.join(", ", new java.util.TreeSet<>(knownKeys)));
+                    addProblem(table, key, path + key,
+                            "one of " + String.join(", ", new java.util.TreeSet<>(knownKeys)));
                 }
             }
         }
@@ -173,7 +191,8 @@
             return value == null ? defaultValue : value;
         }
 
-        private long integerValue(TomlTable section, String path, String key, long defaultValue, long minimum, long maximum) {
+        private long integerValue(TomlTable section, String path, String key, long defaultValue, long minimum,
+                long maximum) {
             String allowed = "a whole number from " + minimum + " to " + maximum;
             Long value = typedValue(section, path, key, Long.class, allowed);
             if (value != null && (value < minimum || value > maximum)) {
@@ -182,6 +201,7 @@
             return value == null ? defaultValue : value;
         }
 
+        /** Returns the value of a key, null if it is absent; null with a recorded problem if it has another type. */
         private <T> T typedValue(TomlTable section, String path, String key, Class<T> type, String allowed) {
             try {
                 Object value = section.get(List.of(key));
@@ -189,15 +209,17 @@
                     return type.cast(value);
                 }
             } catch (TomlInvalidTypeException e) {
-                // told below
+                // reported below
             }
             addProblem(section, key, path + key, allowed);
             return null;
         }
 
+        /** Records a problem of a key of the section; path is the key's full name, allowed describes valid values. */
         private void addProblem(TomlTable section, String key, String path, String allowed) {
             TomlPosition position = section.inputPositionOf(List.of(key));
-            problems.add(file + ":" + (position == null ? "" : position.line()) + ": " + path + ": expected " + allowed);
+            problems.add(file + ":" + (position == null ? "" : position.line()) + ": " + path + ": expected "
+                    + allowed);
         }
     }
 }
--- a/src/main/java/reedquay/ops/OperatorGateway.java
+++ b/src/main/java/reedquay/ops/OperatorGateway.java
@@ -14,7 +14,10 @@
 import reedquay.net.GatewayComponents;
 import reedquay.route.Router;
 
-/** A gateway with the parts that the operators' file turns on. Loaded only where there is such a file. */
+/**
+ * A gateway with the optional components that the operators' file enables. The class is loaded only if there is such a
+ * file.
+ */
 public final class OperatorGateway {
     private static final System.Logger LOG = System.getLogger("reedquay");
     private final Path operatorFile;
@@ -22,23 +25,32 @@
     private final AtomicReference<AdmissionController> admissionController = new AtomicReference<>();
     private final Gateway gateway;
 
+    /**
+     * Creates the gateway without starting it.
+     *
+     * @throws IOException if the operators' file cannot be read
+     * @throws OperatorConfig.InvalidConfigException if the operators' file is invalid
+     */
     public OperatorGateway(Configuration configuration, Path operatorFile) throws IOException {
         this.operatorFile = operatorFile;
         config = OperatorConfig.read(operatorFile);
-        ClientIdentifier clientIdentity = config.fairQueueing().enabled() ? config.fairQueueing().clientIdentity() : null;
-        gateway = new Gateway(configuration, new GatewayComponents(this::createEngine, clientIdentity));
+        ClientIdentifier clientIdentifier = config.fairQueueing().enabled() ? config.fairQueueing().clientIdentifier()
+                : null;
+        gateway = new Gateway(configuration, new GatewayComponents(this::createEngine, clientIdentifier));
     }
 
-    /** The Router, behind the stages that are on. */
-    private RoutingEngine createEngine(Settings settings, RoutingActions effects) {
+    /** Creates the Router, behind the admission controller if fair queueing is enabled. */
+    private RoutingEngine createEngine(Settings settings, RoutingActions actions) {
         if (!config.fairQueueing().enabled()) {
-            return new Router(settings, effects);
+            return new Router(settings, actions);
         }
-        AdmissionController newController = new AdmissionController(settings, config.fairQueueing().admissionSettings(), effects);
+        AdmissionController newController =
+                new AdmissionController(settings, config.fairQueueing().admissionSettings(), actions);
         newController.setNext(new Router(settings, newController));
         admissionController.set(newController);
-        LOG.log(System.Logger.Level.INFO, "fair queues at the door: " + config.fairQueueing().admissionSettings().maxWaiting()
-                + " RPCs may wait, " + newController.memoryBytes() + " bytes");
+        LOG.log(System.Logger.Level.INFO, "admission control by fair queues is enabled: at most "
+                + config.fairQueueing().admissionSettings().maxWaiting() + " RPCs may wait; "
+                + newController.memoryBytes() + " bytes are allocated from the start");
         return newController;
     }
 
@@ -47,16 +59,17 @@
     }
 
     /**
-     * Reads the file again and takes on what can change while running; what needs a restart is logged. False, and
-     * nothing changes, where the file is unfit or the gateway has stopped.
+     * Reads the file again and applies the keys that can change while the gateway runs; changes that need a restart are
+     * logged and ignored. Completes with false, and changes nothing, if the file cannot be read or is invalid or the
+     * gateway has stopped.
      */
     public CompletableFuture<Boolean> reload() {
         try {
             OperatorConfig newConfig = OperatorConfig.read(operatorFile);
             String changedKeys = config.changedKeysNeedingRestart(newConfig);
             if (!changedKeys.isEmpty()) {
-                LOG.log(System.Logger.Level.WARNING, operatorFile + " has another " + changedKeys
-                        + ": that needs a restart and is passed over");
+                LOG.log(System.Logger.Level.WARNING, operatorFile + ": changes of " + changedKeys
+                        + " are ignored; restart the gateway to apply them");
             }
             return gateway.runOnEventLoop(() -> {
                 if (admissionController.get() != null) {
@@ -64,8 +77,8 @@
                 }
             });
         } catch (IOException e) {
-            LOG.log(System.Logger.Level.WARNING, "the operators' file cannot be used, what is in force stays: "
-                    + e.getMessage());
+            LOG.log(System.Logger.Level.WARNING, "cannot reload the operators' file; the current configuration stays"
+                    + " in force: " + e.getMessage());
             return CompletableFuture.completedFuture(false);
         }
     }
--- a/src/main/java/reedquay/ops/SimulatorEngines.java
+++ b/src/main/java/reedquay/ops/SimulatorEngines.java
@@ -6,18 +6,24 @@
 import reedquay.route.Router;
 import reedquay.sim.SimHost;
 
-/** Decisions for the simulator's wire, with the stages that the operators' file turns on. */
+/** Creates routing engines for the simulator, with the optional components that the operators' file enables. */
 public final class SimulatorEngines {
     private SimulatorEngines() { }
 
-    /** Throws IOException where the file can't be read, Unfit where something in it is not allowed. */
+    /**
+     * Returns a factory of engines as the file configures them.
+     *
+     * @throws IOException if the file cannot be read
+     * @throws OperatorConfig.InvalidConfigException if the file is invalid
+     */
     public static SimHost.RoutingEngineFactory factory(Path operatorFile) throws IOException {
         OperatorConfig config = OperatorConfig.read(operatorFile);
         if (!config.fairQueueing().enabled()) {
             return Router::new;
         }
-        return (settings, effects) -> {
-            AdmissionController admissionController = new AdmissionController(settings, config.fairQueueing().admissionSettings(), effects);
+        return (settings, actions) -> {
+            AdmissionController admissionController =
+                    new AdmissionController(settings, config.fairQueueing().admissionSettings(), actions);
             return admissionController.setNext(new Router(settings, admissionController));
         };
     }
