--- a/src/main/java/reedquay/cli/Commands.java
+++ b/src/main/java/reedquay/cli/Commands.java
@@ -11,24 +11,29 @@
 import reedquay.Main;
 import reedquay.ops.OperatorConfig;
 
-/** The command line. The platform's own lines never come here: Main serves them without loading this. */
+/**
+ * The command-line parser. Main handles the three command lines that the platform uses (simhost, serve and rehearse
+ * without options) itself, without loading this class and its library.
+ */
 @Command(name = "reedquay", mixinStandardHelpOptions = true, version = "reedquay 0.1.0",
-        description = "A proxy before a primary and its replicas.",
+        description = "A proxy in front of a database primary and its replicas.",
         subcommands = {Commands.Serve.class, Commands.Rehearse.class, Commands.Simhost.class, Commands.Check.class})
 public final class Commands {
     private Commands() { }
 
-    /** The exit status: 0, 1 where it failed, 2 where the command line is unfit. */
+    /** Runs a command line. Returns the exit status: 0 for success, 1 for a failure, 2 for an invalid command line. */
     public static int run(String[] args) {
         return new CommandLine(new Commands()).execute(args);
     }
 
-    @Command(name = "serve", mixinStandardHelpOptions = true, description = "Starts a gateway, until SIGTERM.")
+    @Command(name = "serve", mixinStandardHelpOptions = true,
+            description = "Starts a gateway, which runs until SIGTERM.")
     static final class Serve implements Callable<Integer> {
-        @Parameters(arity = "0..1", paramLabel = "CONFIG", description = "JSON; where absent LB_CONFIG names it")
+        @Parameters(arity = "0..1", paramLabel = "CONFIG",
+                description = "the configuration, a JSON file; default: the file that LB_CONFIG names")
         private String configFile;
         @Option(names = "--ops", paramLabel = "FILE",
-                description = "the operators' file, TOML; where absent REEDQUAY_OPS names it, if set")
+                description = "the operators' file, TOML; default: the file that REEDQUAY_OPS names, if set")
         private String operatorFile;
 
         @Override public Integer call() throws IOException {
@@ -38,9 +43,9 @@
     }
 
     @Command(name = "rehearse", mixinStandardHelpOptions = true,
-            description = "Plays RPCs of a configuration's settings within the process.")
+            description = "Sends warm-up RPCs of a configuration's methods to members within the process.")
     static final class Rehearse implements Callable<Integer> {
-        @Parameters(paramLabel = "CONFIG", description = "JSON")
+        @Parameters(paramLabel = "CONFIG", description = "the configuration, a JSON file")
         private String configFile;
 
         @Override public Integer call() {
@@ -49,10 +54,10 @@
     }
 
     @Command(name = "simhost", mixinStandardHelpOptions = true,
-            description = "Serves the simulator's wire on standard input and output.")
+            description = "Serves the simulator's protocol on standard input and output.")
     static final class Simhost implements Callable<Integer> {
         @Option(names = "--ops", paramLabel = "FILE",
-                description = "the operators' file, TOML; where absent REEDQUAY_OPS names it, if set")
+                description = "the operators' file, TOML; default: the file that REEDQUAY_OPS names, if set")
         private String operatorFile;
 
         @Override public Integer call() throws IOException {
@@ -61,9 +66,9 @@
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Checks an operators' file and prints what would be in force.")
+            description = "Validates an operators' file and prints the effective configuration.")
     static final class Check implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE", description = "TOML")
+        @Parameters(paramLabel = "FILE", description = "the operators' file, TOML")
         private Path operatorFile;
 
         @Override public Integer call() {
@@ -73,7 +78,8 @@
             } catch (OperatorConfig.InvalidConfigException e) {
                 System.err.println(e.getMessage());
             } catch (IOException e) {
-                System.err.println(operatorFile + ": " + (Files.exists(operatorFile) ? "cannot be read" : "there is no such file"));
+                System.err.println(operatorFile + ": "
+                        + (Files.exists(operatorFile) ? "cannot be read" : "there is no such file"));
             }
             return 1;
         }
