--- a/src/main/java/reedquay/Main.java
+++ b/src/main/java/reedquay/Main.java
@@ -8,18 +8,20 @@
 import reedquay.net.Configuration;
 import reedquay.net.Gateway;
 import reedquay.net.WarmUp;
-import reedquay.ops.SimulatorEngines;
 import reedquay.ops.OperatorGateway;
+import reedquay.ops.SimulatorEngines;
 import reedquay.sim.SimHost;
 import sun.misc.Signal;
 
 /**
- * Starts the front named on the command line. The platform's three lines are taken here, without loading the library
- * that the other commands are read by; without an operators' file nothing that it could turn on is loaded either.
+ * Starts the front named on the command line. The three command lines that the platform uses (simhost, serve and
+ * rehearse without options) are parsed here, without loading the command-line library that parses all others. Without
+ * an operators' file, none of the classes that it can enable are loaded either.
  */
 public final class Main {
     private Main() { }
 
+    /** Runs the command and exits with its status; a gateway that has started keeps the process running. */
     public static void main(String[] args) throws IOException {
         String command = args.length == 0 ? "" : args[0];
         boolean withoutOptions = args.length < 2 || args.length == 2 && !args[1].startsWith("-");
@@ -39,7 +41,10 @@
         }
     }
 
-    /** Serves the simulator's wire; ops: the operators' file, null for none. The exit status. */
+    /**
+     * Serves the simulator's protocol on standard input and output, and returns the exit status. operatorFile: the
+     * path of the operators' file, null for none.
+     */
     public static int simhost(String operatorFile) throws IOException {
         SimHost.RoutingEngineFactory engineFactory = null;
         if (operatorFile != null) {
@@ -54,7 +59,10 @@
                 : SimHost.serve(engineFactory, System.in, System.out, System.err);
     }
 
-    /** Plays RPCs of the configuration's settings within the process. The exit status. */
+    /**
+     * Sends warm-up RPCs of the configuration's methods to members within the process. Returns the exit status, which
+     * is 0 also if the warm-up ends early.
+     */
     public static int rehearse(String configFile) {
         try {
             System.out.println("rehearsed " + WarmUp.run(Files.readString(Path.of(configFile))).get("rpc.taken")
@@ -65,7 +73,7 @@
         return 0;
     }
 
-    /** Starts a gateway, which goes on when this returns -1; else the exit status. */
+    /** Starts a gateway. Returns -1 if it is running, else the exit status. */
     public static int serve(String configFile, String operatorFile) {
         if (configFile == null) {
             System.err.println("usage: java -jar reedquay.jar simhost | serve [CONFIG] | rehearse CONFIG | --help\n"
@@ -74,22 +82,26 @@
         }
         PersistentLogManager.install();
         try {
-            // what is wrong with it is told before anything else begins
-            OperatorGateway operatorGateway = operatorFile == null ? null : new OperatorGateway(Configuration.read(Path.of(configFile)), Path.of(operatorFile));
+            // validates the operators' file before anything else starts
+            OperatorGateway operatorGateway = operatorFile == null ? null
+                    : new OperatorGateway(Configuration.read(Path.of(configFile)), Path.of(operatorFile));
             DeferredAction reload = new DeferredAction();
-            // guards against the JVM's own way with this signal, which is to end: from here on, a start takes seconds
+            // prevents the JVM's default action for SIGHUP, to exit, during the rest of the start, which takes seconds
             Signal.handle(new Signal("HUP"), signal -> reload.request());
             rehearse(configFile);
-            Object trace = Boolean.getBoolean("reedquay.trace") ? PersistentLogManager.enableTrace() : null; // a logger lives while held
-            Gateway gateway = operatorGateway != null ? operatorGateway.gateway() : new Gateway(Configuration.read(Path.of(configFile)));
+            // held by a strong reference, since the log manager keeps only weak ones to loggers
+            Object trace = Boolean.getBoolean("reedquay.trace") ? PersistentLogManager.enableTrace() : null;
+            Gateway gateway = operatorGateway != null ? operatorGateway.gateway()
+                    : new Gateway(Configuration.read(Path.of(configFile)));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 gateway.stop().join();
                 Reference.reachabilityFence(trace);
                 System.out.println("counters " + gateway.counters().join());
                 System.out.flush();
-                Runtime.getRuntime().halt(0); // a stop that was asked for is no failure
+                Runtime.getRuntime().halt(0); // a requested shutdown is reported as success
             }));
-            Runnable reloadOperatorFile = operatorGateway == null ? null : operatorGateway::reload; // no class of it is loaded where it is off
+            // null without an operators' file, so that the reload handler then loads none of its classes
+            Runnable reloadOperatorFile = operatorGateway == null ? null : operatorGateway::reload;
             System.out.println("listening on " + gateway.start().join());
             reload.enable(() -> {
                 gateway.reload(Path.of(configFile));
@@ -100,7 +112,7 @@
             return -1;
         } catch (IOException | RuntimeException e) {
             System.err.println("reedquay: cannot start: " + e.getMessage());
-            Runtime.getRuntime().halt(1); // the hook has nothing to finish
+            Runtime.getRuntime().halt(1); // skips the shutdown hook, which has nothing to finish
             return 1;
         }
     }
--- a/src/main/java/reedquay/PersistentLogManager.java
+++ b/src/main/java/reedquay/PersistentLogManager.java
@@ -6,16 +6,20 @@
 import java.util.logging.Logger;
 
 /**
- * The JVM's logging, going on until the process ends. Guards the lines of a planned stop: the usual manager takes its
- * handlers away by a shutdown hook of its own, beside the one that still answers RPCs.
+ * A log manager whose handlers stay in place until the process ends. Prevents the loss of lines logged during a
+ * graceful shutdown, which happens when the standard manager removes its handlers: it does so in a shutdown hook of its
+ * own, which runs concurrently with the hook in which the gateway still answers RPCs.
  */
 public final class PersistentLogManager extends LogManager {
-    /** Of use before anything logs; an embedding program keeps its own manager. */
+    /**
+     * Selects this log manager. Has an effect only before the first use of logging, so that a program that embeds the
+     * gateway keeps its own manager.
+     */
     static void install() {
         System.setProperty("java.util.logging.manager", PersistentLogManager.class.getName());
     }
 
-    /** From here on the ways of RPCs are logged too. */
+    /** Enables the trace log, which records the events of each RPC, and returns its logger. */
     static Logger enableTrace() {
         Logger logger = Logger.getLogger("reedquay.trace");
         logger.setLevel(Level.FINE);
@@ -26,5 +30,6 @@
         return logger;
     }
 
+    /** Does nothing, so that the shutdown hook of the JVM's logging removes no handler. */
     @Override public void reset() { }
 }
--- a/src/test/java/reedquay/DeferredActionTest.java
+++ b/src/test/java/reedquay/DeferredActionTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.api.Test;
 
 class DeferredActionTest {
-    /** Guards against a start that ends, or forgets, what a signal asked for before there was a gateway. */
+    /**
+     * A signal that asks for a reload before the gateway runs must neither end the process nor be lost: the reload runs
+     * once the start is complete.
+     */
     @Test void requestsBeforeEnablingRunOnceWhenEnabled() {
         AtomicInteger runs = new AtomicInteger();
         DeferredAction action = new DeferredAction();
@@ -21,7 +24,10 @@
         assertEquals(2, runs.get());
     }
 
-    /** Guards the lines of a stop: the JVM's logging takes its handlers away while RPCs are still answered. */
+    /**
+     * Lines logged during a shutdown must not be lost: the shutdown hook of the JVM's logging resets the log manager
+     * while the gateway still answers RPCs.
+     */
     @Test void handlersSurviveTheReset() {
         PersistentLogManager manager = new PersistentLogManager();
         Logger logger = new Logger("kept", null) { };
