--- a/lab/src/main/java/reedquay/lab/GatewaySimulation.java
+++ b/lab/src/main/java/reedquay/lab/GatewaySimulation.java
@@ -12,36 +12,38 @@
 import java.util.function.IntToLongFunction;
 import org.HdrHistogram.Histogram;
 import reedquay.core.CallOut;
-import reedquay.core.RoutingEngine;
-import reedquay.core.RoutingActions;
 import reedquay.core.ListedMember;
+import reedquay.core.LoadReport;
 import reedquay.core.Member;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.LoadReport;
 import reedquay.core.Role;
+import reedquay.core.RoutingActions;
+import reedquay.core.RoutingEngine;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
 
 /**
- * One gateway's true decisions in simulated time: clients that come, come again and leave, members with cores and a
- * queue. All chance comes from one seed; two runs of one script are the same. Times in nanoseconds.
+ * A simulation of one gateway in simulated time. The routing engine is the real one; clients, which send, retry and
+ * abandon requests, and members, which have cores and a queue, are simulated. All random numbers derive from one seed,
+ * so that two runs of the same scenario are identical. Times are in nanoseconds unless a name says otherwise.
  */
 public final class GatewaySimulation implements RoutingActions {
+    /** Nanoseconds in a millisecond. */
     public static final long MS = 1_000_000;
     private static final long START_NANOS = 1_000_000_000 * MS / 1000;
 
-    /** What a client does when it is turned away. */
+    /** What a client does when it is pushed back. The constants are values of command-line options. */
     public enum RetryPolicy {
-        /** Comes when it was told, or after a soft deadline where it was told nothing; three times at most. */
+        /** Retries at the advised time, or after a soft deadline if none was advised; at most three times. */
         POLITE,
-        /** Comes again at once, up to three times, whatever it was told. */
+        /** Retries after 1 to 5 ms whatever was advised, at most three times. */
         EAGER,
-        /** Comes again at once for ever. */
+        /** Retries after 1 to 5 ms whatever was advised, without a limit. */
         DEAF
     }
 
-    /** A stream of requests: who, how often a second, of which method, and for how long. */
+    /** A Poisson stream of requests of one tenant and method, with what became of them. */
     public static final class RequestStream {
         final String tenant;
         final String clientId;
@@ -50,23 +52,33 @@
         final RetryPolicy retryPolicy;
         final long startNanos;
         final long endNanos;
-        boolean newClientPerRequest; // each request is a client of its own
-        /** It never comes again. */
+        boolean newClientPerRequest; // each request has a client ID of its own
+        /** Whether a request that is pushed back is given up. */
         public boolean neverRetries;
+        /** Requests, each counted once whatever its number of attempts. */
         public long requests;
+        /** Requests served within the soft deadline of one of their attempts. */
         public long servedInTime;
+        /** Sum of the utility of the requests served in time. */
         public double utility;
+        /** RPCs, that is attempts of all requests. */
         public long rpcs;
+        /** RPCs pushed back. */
         public long pushedBack;
-        public long advisedRetries; // came when told
+        /** Retries sent at the advised time. */
+        public long advisedRetries;
+        /** Retries sent at the advised time and served within the soft deadline. */
         public long advisedRetriesInTime;
-        public double workNanos; // served, in nanoseconds of a core
+        /** Work of the RPCs served, in nanoseconds of a core. */
+        public double workNanos;
+        /** RPCs served. */
         public long served;
-        /** How much later than it was told to come a client that did so had its answer, less its time inside. */
+        /** Time from a retry sent at the advised time to its answer. */
         public final Histogram advisedRetryLatency = new Histogram(3);
 
-        public RequestStream(String tenant, String clientId, Method method, double requestsPerSecond, RetryPolicy retryPolicy, long startNanos,
-                long endNanos) {
+        /** startNanos and endNanos count from the start of the simulation. */
+        public RequestStream(String tenant, String clientId, Method method, double requestsPerSecond,
+                RetryPolicy retryPolicy, long startNanos, long endNanos) {
             this.tenant = tenant;
             this.clientId = clientId;
             this.method = method;
@@ -76,21 +88,23 @@
             this.endNanos = START_NANOS + endNanos;
         }
 
+        /** Sends each request under a new client ID that starts with the stream's. */
         public RequestStream withNewClientPerRequest() {
             newClientPerRequest = true;
             return this;
         }
 
-        /** Utility had of that asked for. */
+        /** Returns the utility gained as a fraction of that of all requests; 1 if there were none. */
         public double utilityShare() { return requests == 0 ? 1 : utility / (requests * method.utility()); }
     }
 
+    /** One request of a client, over all its attempts. */
     private static final class Request {
         final RequestStream stream;
         final String clientId;
         int attempts;
         boolean servedInTime;
-        boolean isAdvisedRetry; // this try came when it was told
+        boolean isAdvisedRetry; // the current attempt was sent at the advised time
 
         Request(RequestStream stream, String clientId) {
             this.stream = stream;
@@ -98,6 +112,7 @@
         }
     }
 
+    /** A simulated member. */
     private static final class Server {
         final Member member;
         final boolean primary;
@@ -113,12 +128,13 @@
         }
     }
 
-    private record Event(long at, long sequence, Runnable action) { }
+    /** An event in simulated time; events of the same time run in the order of their sequence numbers. */
+    private record Event(long atNanos, long sequence, Runnable action) { }
 
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::sequence));
+            new PriorityQueue<>(Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::sequence));
     private final SplittableRandom random;
-    private final RoutingEngine decider;
+    private final RoutingEngine engine;
     private final Settings settings;
     private final Map<Method, Long> meanWorkNanos = new HashMap<>();
     private final List<Server> servers = new ArrayList<>();
@@ -132,18 +148,20 @@
     private long lastRpcId;
     private long newClients;
     private long lastWorkNanos;
-    /** RPCs of which more than half of their time was gone when they were turned away without any call-out. */
+    /** RPCs pushed back without any call-out after more than half of their time to the deadline had passed. */
     public long heldTooLong;
-    /** What broke a rule here: two answers, a call-out after the end. */
+    /** Violations of rule 1: second final answers of an RPC, and call-outs after its final answer. */
     public long ruleViolations;
 
-    public GatewaySimulation(Settings settings, long seed, BiFunction<Settings, RoutingActions, RoutingEngine> engineFactory) {
+    /** Creates a simulation without members; the factory creates the engine, which acts on this simulation. */
+    public GatewaySimulation(Settings settings, long seed,
+            BiFunction<Settings, RoutingActions, RoutingEngine> engineFactory) {
         this.settings = settings;
         random = new SplittableRandom(seed);
-        decider = engineFactory.apply(settings, this);
+        engine = engineFactory.apply(settings, this);
     }
 
-    /** One group: a primary and replicas with so many cores each. */
+    /** Adds a group of one primary and the given number of replicas; cores are per member. */
     public GatewaySimulation addGroup(int replicas, int cores) {
         List<ListedMember> entries = new ArrayList<>();
         for (int i = 0; i <= replicas; i++) {
@@ -152,16 +170,17 @@
             server.member.frontState = server;
             entries.add(new ListedMember(server.member, "a", "std", 1, ListedMember.Phase.UP, server.primary, 1, 0));
         }
-        deliverInput(() -> decider.membersListed(ListedMember.ListKind.FULL, entries));
+        deliverInput(() -> engine.membersListed(ListedMember.ListKind.FULL, entries));
         return this;
     }
 
-    /** How long a method's work takes a core; exponential about that mean. */
+    /** Sets the mean work of a method, in nanoseconds of a core; the work of each RPC is exponentially distributed. */
     public GatewaySimulation setMeanWork(Method method, long meanNanos) {
         meanWorkNanos.put(method, meanNanos);
         return this;
     }
 
+    /** Adds a stream, which sends requests in a Poisson process unless its rate is 0. */
     public GatewaySimulation addStream(RequestStream stream) {
         streams.add(stream);
         if (stream.requestsPerSecond > 0) {
@@ -170,7 +189,7 @@
         return this;
     }
 
-    /** So many requests of a stream at one moment. */
+    /** Adds a number of requests of a stream, of which request i is sent offsetNanos(i) after the given time. */
     public GatewaySimulation addBurst(long millis, int requests, RequestStream stream, IntToLongFunction offsetNanos) {
         streams.add(stream);
         for (int i = 0; i < requests; i++) {
@@ -179,13 +198,13 @@
         return this;
     }
 
-    /** Something that happens at that time. */
+    /** Runs an action at the given time. */
     public GatewaySimulation runAt(long millis, Runnable action) {
         schedule(START_NANOS + millis * MS, action);
         return this;
     }
 
-    /** The last so many replicas stop answering, or come back. */
+    /** Stops or restarts the given number of replicas, the last ones. Call-outs queued at a stopped one are reset. */
     public void setReplicasUp(int replicas, boolean up) {
         for (int i = servers.size() - replicas; i < servers.size(); i++) {
             Server server = servers.get(i);
@@ -198,21 +217,24 @@
         }
     }
 
+    /** Runs all events up to and including the given time. */
     public void runUntil(long millis) {
         long end = START_NANOS + millis * MS;
-        while (!events.isEmpty() && events.peek().at <= end) {
+        while (!events.isEmpty() && events.peek().atNanos <= end) {
             Event event = events.poll();
-            now = event.at;
+            now = event.atNanos;
             event.action.run();
         }
     }
 
-    public RoutingEngine engine() { return decider; }
+    /** Returns the simulated gateway's routing engine. */
+    public RoutingEngine engine() { return engine; }
 
-    private void schedule(long time, Runnable action) {
-        events.add(new Event(Math.max(time, now), nextSequence++, action));
+    private void schedule(long atNanos, Runnable action) {
+        events.add(new Event(Math.max(atNanos, now), nextSequence++, action));
     }
 
+    /** Gives an input to the engine in a batch of its own; one given during a batch is delivered after it. */
     private void deliverInput(Runnable input) {
         inputs.addLast(input);
         if (inBatch) {
@@ -220,9 +242,9 @@
         }
         inBatch = true;
         while (!inputs.isEmpty()) {
-            decider.beginBatch(now);
+            engine.beginBatch(now);
             inputs.pollFirst().run();
-            decider.endBatch();
+            engine.endBatch();
         }
         inBatch = false;
     }
@@ -249,16 +271,17 @@
         RequestStream stream = request.stream;
         stream.rpcs++;
         request.attempts++;
-        Rpc rpc = new Rpc(++lastRpcId, 1, request.clientId, now + stream.method.deadline(), request.attempts > 1, 0, stream.tenant, stream.method);
+        Rpc rpc = new Rpc(++lastRpcId, 1, request.clientId, now + stream.method.deadline(), request.attempts > 1, 0,
+                stream.tenant, stream.method);
         rpc.clientId = request.clientId;
         rpc.frontState = now;
         openRequests.put(rpc, request);
-        deliverInput(() -> decider.rpcArrived(rpc));
+        deliverInput(() -> engine.rpcArrived(rpc));
         schedule(rpc.deadline, () -> {
             if (!rpc.ended) {
                 rpc.ended = true;
                 openRequests.remove(rpc);
-                deliverInput(() -> decider.clientGone(rpc));
+                deliverInput(() -> engine.clientGone(rpc));
             }
         });
     }
@@ -333,18 +356,20 @@
         }
         boolean ended = callOut.rpc.ended;
         boolean hasReport = outcome == Outcome.OK;
-        deliverInput(() -> decider.callOutEnded(callOut, outcome, now - callOut.sentAt, ended, hasReport ? now : LoadReport.NO_POSITION,
+        deliverInput(() -> engine.callOutEnded(callOut, outcome, now - callOut.sentAt, ended,
+                hasReport ? now : LoadReport.NO_POSITION,
                 !hasReport ? Role.UNKNOWN : server.primary ? Role.PRIMARY : Role.REPLICA, LoadReport.NONE));
     }
 
-    // ---- Effects ----
+    // ---- Actions of the engine ----
 
     @Override public void sendCallOut(CallOut callOut, long limit) {
         ruleViolations += callOut.rpc.ended ? 1 : 0;
         Server server = (Server) callOut.member.frontState;
         schedule(now + MS / 4, () -> {
             if (!server.up) {
-                schedule(now + settings.capabilities().connectTimeout(), () -> endCallOut(callOut, Outcome.NO_CONNECTION));
+                schedule(now + settings.capabilities().connectTimeout(),
+                        () -> endCallOut(callOut, Outcome.NO_CONNECTION));
             } else if (server.queue.size() >= 64) {
                 endCallOut(callOut, Outcome.FULL);
             } else {
@@ -374,7 +399,8 @@
 
     @Override public void probe(Member member) {
         Server server = (Server) member.frontState;
-        schedule(now + MS / 2, () -> deliverInput(() -> decider.probeEnded(member, server.up ? Outcome.OK : Outcome.TIMED_OUT, MS / 2,
+        schedule(now + MS / 2, () -> deliverInput(() -> engine.probeEnded(member,
+                server.up ? Outcome.OK : Outcome.TIMED_OUT, MS / 2,
                 server.up ? new LoadReport(now - 5 * MS, server.primary ? Role.PRIMARY : Role.REPLICA, -1, -1, -1)
                         : LoadReport.NONE)));
     }
