--- a/lab/src/test/java/reedquay/lab/FairQueueScenariosTest.java
+++ b/lab/src/test/java/reedquay/lab/FairQueueScenariosTest.java
@@ -9,13 +9,17 @@
 import reedquay.core.Settings;
 import reedquay.core.Stage;
 import reedquay.lab.FairQueueScenarios.AdmissionMode;
-import reedquay.lab.GatewaySimulation.RetryPolicy;
 import reedquay.lab.GatewaySimulation.RequestStream;
+import reedquay.lab.GatewaySimulation.RetryPolicy;
 
-/** The hard cases before a door, true decisions in simulated time; each fails for the Router alone or a poorer door. */
+/**
+ * Tests admission control by fair queues with the real routing engine in simulated time. Each test fails with the
+ * Router alone or with a weaker admission control.
+ */
 class FairQueueScenariosTest {
-    private static final long TEN_SECONDS = 10_000 * MS;
+    private static final long TEN_SECONDS = 10_000 * MS; // in nanoseconds
 
+    /** Adds 48 polite clients of three tenants, which together offer 0.8 of the capacity. */
     private static List<RequestStream> addOtherClients(GatewaySimulation simulation) {
         List<RequestStream> streams = new ArrayList<>();
         for (String tenant : List.of("red", "green", "blue")) {
@@ -25,11 +29,12 @@
     }
 
     private static void assertRulesHold(GatewaySimulation simulation) {
-        assertEquals(0, simulation.ruleViolations, "one answer, no call-out after it");
-        assertEquals(0, simulation.heldTooLong, "nothing is kept back beyond half of its time");
+        assertEquals(0, simulation.ruleViolations, "each RPC gets one final answer and no call-out after it");
+        assertEquals(0, simulation.heldTooLong,
+                "no RPC is pushed back without a call-out after half of its time to the deadline");
     }
 
-    /** What the others have with some greedy streams, as a part of what they have without. */
+    /** Returns the others' share of utility beside greedy streams, as a fraction of their share without them. */
     private static double othersRelativeUtility(AdmissionMode admissionMode, long seed, List<RequestStream> greedy) {
         double[] shares = new double[2];
         for (int with = 0; with < 2; with++) {
@@ -45,42 +50,52 @@
         return shares[1] / shares[0];
     }
 
+    /** Returns a stream of one client that sends the given multiple of its share among 49 clients. */
     private static RequestStream greedyStream(String tenant, double times, RetryPolicy retryPolicy) {
-        return new RequestStream(tenant, "greedy", CHEAP, times * CAPACITY_PER_SECOND / 49, retryPolicy, 0, TEN_SECONDS);
+        return new RequestStream(tenant, "greedy", CHEAP, times * CAPACITY_PER_SECOND / 49, retryPolicy, 0,
+                TEN_SECONDS);
     }
 
     @Test void greedyClientDoesNotReduceOthersUtility() {
         for (RetryPolicy retryPolicy : RetryPolicy.values()) {
-            double share = othersRelativeUtility(AdmissionMode.CLIENTS, 1, List.of(greedyStream("red", 20, retryPolicy)));
+            double share = othersRelativeUtility(AdmissionMode.CLIENTS, 1,
+                    List.of(greedyStream("red", 20, retryPolicy)));
             assertTrue(share >= 0.99, retryPolicy + " " + share);
         }
-        assertTrue(othersRelativeUtility(AdmissionMode.NOTHING, 1, List.of(greedyStream("red", 20, RetryPolicy.EAGER))) < 0.95, "the Router alone");
-        assertTrue(othersRelativeUtility(AdmissionMode.TENANTS, 1, List.of(greedyStream("red", 20, RetryPolicy.EAGER))) < 0.95, "tenants alone");
+        assertTrue(othersRelativeUtility(AdmissionMode.NOTHING, 1,
+                List.of(greedyStream("red", 20, RetryPolicy.EAGER))) < 0.95, "the Router alone does not protect others");
+        assertTrue(othersRelativeUtility(AdmissionMode.TENANTS, 1,
+                List.of(greedyStream("red", 20, RetryPolicy.EAGER))) < 0.95, "queues by tenant do not protect others");
     }
 
     @Test void greedyClientUsingThreeTenantsDoesNotReduceOthersUtility() {
-        double share = othersRelativeUtility(AdmissionMode.CLIENTS, 2, List.of(greedyStream("red", 7, RetryPolicy.EAGER),
-                greedyStream("green", 7, RetryPolicy.EAGER), greedyStream("blue", 6, RetryPolicy.EAGER)));
+        double share = othersRelativeUtility(AdmissionMode.CLIENTS, 2,
+                List.of(greedyStream("red", 7, RetryPolicy.EAGER), greedyStream("green", 7, RetryPolicy.EAGER),
+                greedyStream("blue", 6, RetryPolicy.EAGER)));
         assertTrue(share >= 0.99, "" + share);
     }
 
-    /** The client's own retries before the named time are of its own share; when told it is served in time. */
+    /**
+     * At 1.5 times the capacity, clients that retry at the advised time are served in time. Retries that a client sends
+     * earlier count against its own share.
+     */
     @Test void retriesAtTheAdvisedTimeAreServedInTime() {
         long advisedRetries = 0;
         long inTime = 0;
         for (long seed = 1; seed <= 3; seed++) {
             GatewaySimulation simulation = simulation(threeTenants(), seed, AdmissionMode.CLIENTS, 1000);
             List<RequestStream> streams = new ArrayList<>();
-            for (String tenant : List.of("red", "green", "blue")) { // more than there is room for, from all alike
-                streams.addAll(addEvenClients(simulation, tenant, 16, CHEAP, 1.5 / 3, RetryPolicy.POLITE, TEN_SECONDS));
+            for (String tenant : List.of("red", "green", "blue")) { // together 1.5 times the capacity
+                streams.addAll(addEvenClients(simulation, tenant, 16, CHEAP, 1.5 / 3, RetryPolicy.POLITE,
+                        TEN_SECONDS));
             }
             simulation.runUntil(13_000);
             assertRulesHold(simulation);
             advisedRetries += streams.stream().mapToLong(s -> s.advisedRetries).sum();
             inTime += streams.stream().mapToLong(s -> s.advisedRetriesInTime).sum();
         }
-        assertTrue(advisedRetries > 1000, "told " + advisedRetries);
-        assertTrue(inTime >= 0.95 * advisedRetries, inTime + " of " + advisedRetries);
+        assertTrue(advisedRetries > 1000, "retries at the advised time: " + advisedRetries);
+        assertTrue(inTime >= 0.95 * advisedRetries, inTime + " in time, of " + advisedRetries);
     }
 
     @Test void greedyClientGetsCapacityThatOthersLeave() {
@@ -94,33 +109,40 @@
         simulation.runUntil(11_500);
         assertRulesHold(simulation);
         double work = greedy.workNanos + others.stream().mapToDouble(s -> s.workNanos).sum();
-        assertTrue(work >= 0.98 * 4 * TEN_SECONDS, "of all cores " + work / (4 * TEN_SECONDS));
+        assertTrue(work >= 0.98 * 4 * TEN_SECONDS, "utilization of the replicas: " + work / (4 * TEN_SECONDS));
         assertTrue(utilityShare(others) > 0.99, "" + utilityShare(others));
     }
 
-    /** Ten thousand clients that ask once, beside some that ask all the time, all over what there is room for. */
+    /**
+     * Ten thousand clients that send one request each get as much service as clients that keep sending, at a load above
+     * the capacity.
+     */
     @Test void oneTimeClientsAreServedLikeRecurringClients() {
         GatewaySimulation simulation = simulation(threeTenants(), 4, AdmissionMode.CLIENTS, 1000);
-        RequestStream oneTime = new RequestStream("red", "once-", CHEAP, 1000, RetryPolicy.POLITE, 0, TEN_SECONDS).withNewClientPerRequest();
+        RequestStream oneTime = new RequestStream("red", "once-", CHEAP, 1000, RetryPolicy.POLITE, 0, TEN_SECONDS)
+                .withNewClientPerRequest();
         simulation.addStream(oneTime);
-        List<RequestStream> recurring = addEvenClients(simulation, "red", 20, CHEAP, 0.1, RetryPolicy.POLITE, TEN_SECONDS);
-        List<RequestStream> green = addEvenClients(simulation, "green", 4, CHEAP, 0.2, RetryPolicy.POLITE, TEN_SECONDS);
+        List<RequestStream> recurring =
+                addEvenClients(simulation, "red", 20, CHEAP, 0.1, RetryPolicy.POLITE, TEN_SECONDS);
+        List<RequestStream> green =
+                addEvenClients(simulation, "green", 4, CHEAP, 0.2, RetryPolicy.POLITE, TEN_SECONDS);
         simulation.runUntil(13_000);
         assertRulesHold(simulation);
         assertTrue(oneTime.requests > 9_500, "" + oneTime.requests);
         assertTrue(utilityShare(green) > 0.98, "another tenant has its share: " + utilityShare(green));
         double ratio = utilityShare(recurring) / oneTime.utilityShare();
         assertTrue(ratio > 0.8 && ratio < 1.25 && oneTime.utilityShare() > 0.2,
-                "those that stay " + utilityShare(recurring) + ", that ask once " + oneTime.utilityShare());
+                "recurring clients: " + utilityShare(recurring) + ", one-time clients: " + oneTime.utilityShare());
     }
 
     @Test void memoryDoesNotGrowWithTheNumberOfClients() {
         long[] bytes = new long[2];
         for (int i = 0; i < 2; i++) {
             GatewaySimulation simulation = simulation(threeTenants(), 5, AdmissionMode.CLIENTS, 500);
-            RequestStream stream = new RequestStream("red", "c", CHEAP, 1, RetryPolicy.POLITE, 0, 0).withNewClientPerRequest();
+            RequestStream stream =
+                    new RequestStream("red", "c", CHEAP, 1, RetryPolicy.POLITE, 0, 0).withNewClientPerRequest();
             int clients = i == 0 ? 1000 : 1_000_000;
-            simulation.addBurst(0, clients, stream, k -> k * 10_000L); // 100,000 a second
+            simulation.addBurst(0, clients, stream, k -> k * 10_000L); // 100,000 per second
             stream.neverRetries = true;
             simulation.runUntil(20_000);
             assertRulesHold(simulation);
@@ -130,11 +152,15 @@
         assertEquals(bytes[0], bytes[1]);
     }
 
-    /** All clients come at once after a stall, and again; the queues are short a second later. */
+    /**
+     * After a stall, 800 clients send a request at once, and retry. A second and a half later, other clients are served
+     * in time again, so no queue is left standing.
+     */
     @Test void burstAfterAStallDoesNotDelayLaterRequests() {
         GatewaySimulation simulation = simulation(threeTenants(), 6, AdmissionMode.CLIENTS, 1000);
         List<RequestStream> others = addOtherClients(simulation);
-        RequestStream burst = new RequestStream("blue", "late", CHEAP, 0, RetryPolicy.POLITE, 0, TEN_SECONDS).withNewClientPerRequest();
+        RequestStream burst = new RequestStream("blue", "late", CHEAP, 0, RetryPolicy.POLITE, 0, TEN_SECONDS)
+                .withNewClientPerRequest();
         simulation.addBurst(3000, 800, burst, i -> 0);
         long[] countsBefore = new long[2];
         simulation.runAt(4500, () -> {
@@ -154,7 +180,8 @@
         for (AdmissionMode admissionMode : List.of(AdmissionMode.CLIENTS, AdmissionMode.NOTHING)) {
             GatewaySimulation simulation = simulation(settings, 7, admissionMode, 1000);
             addEvenClients(simulation, "large", 100, CHEAP, 2, RetryPolicy.POLITE, TEN_SECONDS);
-            List<RequestStream> small = addEvenClients(simulation, "small", 1, CHEAP, 0.3, RetryPolicy.POLITE, TEN_SECONDS);
+            List<RequestStream> small =
+                    addEvenClients(simulation, "small", 1, CHEAP, 0.3, RetryPolicy.POLITE, TEN_SECONDS);
             simulation.runUntil(13_000);
             assertRulesHold(simulation);
             assertTrue(admissionMode == AdmissionMode.CLIENTS ? utilityShare(small) > 0.99 : utilityShare(small) < 0.9,
@@ -162,26 +189,32 @@
         }
     }
 
-    /** By count the dear ones would have six times the work of the cheap ones; fair.md says what is left. */
+    /**
+     * With shares by request count, expensive requests would get six times the work of cheap ones. The bounds allow
+     * the inequality that remains with shares by work.
+     */
     @Test void clientsShareByWorkAndNotByRequestCount() {
         GatewaySimulation simulation = simulation(threeTenants(), 8, AdmissionMode.CLIENTS, 1000);
         List<RequestStream> cheap = addEvenClients(simulation, "red", 4, CHEAP, 0.8, RetryPolicy.EAGER, TEN_SECONDS);
-        List<RequestStream> expensive = addEvenClients(simulation, "red", 4, EXPENSIVE, 0.8, RetryPolicy.EAGER, TEN_SECONDS);
+        List<RequestStream> expensive =
+                addEvenClients(simulation, "red", 4, EXPENSIVE, 0.8, RetryPolicy.EAGER, TEN_SECONDS);
         simulation.runUntil(10_000);
         double cheapWork = cheap.stream().mapToDouble(s -> s.workNanos).sum();
         double expensiveWork = expensive.stream().mapToDouble(s -> s.workNanos).sum();
-        assertTrue(cheapWork / expensiveWork > 0.5 && cheapWork / expensiveWork < 2.5, "work of cheap " + cheapWork / TEN_SECONDS + ", of dear " + expensiveWork / TEN_SECONDS);
+        assertTrue(cheapWork / expensiveWork > 0.5 && cheapWork / expensiveWork < 2.5, "work of cheap requests: "
+                + cheapWork / TEN_SECONDS + ", of expensive ones: " + expensiveWork / TEN_SECONDS);
     }
 
     @Test void equalClientsAreServedEqually() {
         GatewaySimulation simulation = simulation(threeTenants(), 9, AdmissionMode.CLIENTS, 4000);
-        List<RequestStream> streams = addEvenClients(simulation, "red", 100, CHEAP, 2, RetryPolicy.POLITE, TEN_SECONDS);
+        List<RequestStream> streams =
+                addEvenClients(simulation, "red", 100, CHEAP, 2, RetryPolicy.POLITE, TEN_SECONDS);
         simulation.runUntil(10_000);
         double index = jainIndex(streams.stream().mapToDouble(s -> s.served).toArray());
         assertTrue(index > 0.98, "" + index);
     }
 
-    /** A replica is lost while the queues are full, and comes back. */
+    /** A replica stops while the queues are full, and restarts two seconds later. */
     @Test void lossAndReturnOfCapacityLeaveNoStandingQueue() {
         GatewaySimulation simulation = simulation(threeTenants(), 10, AdmissionMode.CLIENTS, 1000);
         List<RequestStream> others = addOtherClients(simulation);
@@ -195,12 +228,13 @@
         }
         simulation.runUntil(13_000);
         assertRulesHold(simulation);
-        // within a second what waits is no more than what is served within a soft deadline
-        assertTrue(waiting[0] <= 0.4 * CAPACITY_PER_SECOND / 2 && waiting[1] <= 0.4 * CAPACITY_PER_SECOND && waiting[2] <= 0.4 * CAPACITY_PER_SECOND,
-                java.util.Arrays.toString(waiting));
+        // a second after each change, no more RPCs wait than are served within a soft deadline
+        assertTrue(waiting[0] <= 0.4 * CAPACITY_PER_SECOND / 2 && waiting[1] <= 0.4 * CAPACITY_PER_SECOND
+                && waiting[2] <= 0.4 * CAPACITY_PER_SECOND, java.util.Arrays.toString(waiting));
         assertTrue(utilityShare(others) > 0.75, "" + utilityShare(others));
     }
 
+    /** Returns the column "waiting" of the first row of SHOW ways. */
     private static long queuedRpcs(GatewaySimulation simulation) {
         return Long.parseLong(((Stage) simulation.engine()).statisticsTable("ways").get(1)[4]);
     }
@@ -214,7 +248,8 @@
             simulation.runUntil(3000);
             StringBuilder tables = new StringBuilder();
             for (String table : List.of("tenants", "ways", "clients")) {
-                ((Stage) simulation.engine()).statisticsTable(table).forEach(r -> tables.append(String.join(" ", r)).append('\n'));
+                ((Stage) simulation.engine()).statisticsTable(table)
+                        .forEach(r -> tables.append(String.join(" ", r)).append('\n'));
             }
             runs[i] = tables.toString();
         }
