--- a/lab/src/main/java/reedquay/lab/Lab.java
+++ b/lab/src/main/java/reedquay/lab/Lab.java
@@ -5,12 +5,12 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import org.HdrHistogram.Histogram;
-import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import picocli.CommandLine;
 import reedquay.lab.FairQueueScenarios.AdmissionMode;
-import reedquay.lab.GatewaySimulation.RetryPolicy;
 import reedquay.lab.GatewaySimulation.RequestStream;
+import reedquay.lab.GatewaySimulation.RetryPolicy;
 
 /** Measurements that anybody can run again: each prints a table in Markdown. */
 @Command(name = "lab", mixinStandardHelpOptions = true, description = "Measurements of reedquay.",
--- a/src/main/java/reedquay/Main.java
+++ b/src/main/java/reedquay/Main.java
@@ -77,7 +77,7 @@
     public static int serve(String configFile, String operatorFile) {
         if (configFile == null) {
             System.err.println("usage: java -jar reedquay.jar simhost | serve [CONFIG] | rehearse CONFIG | --help\n"
-                    + "CONFIG is a JSON file; where none is given LB_CONFIG names it");
+                    + "CONFIG is a JSON file; default: the file that LB_CONFIG names");
             return 2;
         }
         PersistentLogManager.install();
