--- a/lab/src/main/java/reedquay/lab/LoadGenerator.java
+++ b/lab/src/main/java/reedquay/lab/LoadGenerator.java
@@ -33,57 +33,67 @@
 import reedquay.pg.Messages;
 
 /**
- * An open load over sockets: requests come when a seeded script says, whatever has been answered, and a latency counts
- * from that moment, so that a stall is seen by all that would have come in it. One event loop; a connection carries one
- * RPC at a time, and there are as many as it takes, up to a bound.
+ * An open-loop load generator over sockets. Requests are sent on a schedule drawn from a seed, whatever has been
+ * answered, and latency counts from the scheduled time, so that a stall shows in the latency of every request scheduled
+ * during it (no coordinated omission). It runs on one event loop; a connection carries one RPC at a time, and
+ * connections are opened as needed, up to a limit.
  */
 @Command(name = "load", mixinStandardHelpOptions = true,
-        description = "An open, seeded load over sockets, at a gateway or at one with toy members in this process.")
+        description = "An open, seeded load over sockets, on a gateway or on one with stand-in members in this"
+        + " process.")
 final class LoadGenerator implements Callable<Integer> {
-    @Option(names = "--at", paramLabel = "HOST:PORT", description = "a gateway; without it one is started here")
+    @Option(names = "--at", paramLabel = "HOST:PORT", description = "a running gateway; default: one is"
+            + " started in this process")
     private String gatewayAddress;
-    @Option(names = "--config", defaultValue = "example/config.json", description = "of the gateway started here")
+    @Option(names = "--config", defaultValue = "example/config.json",
+            description = "the configuration of the gateway started in this process")
     private Path configFile;
-    @Option(names = "--ops", description = "the operators' file of the gateway started here; none: the Router alone")
+    @Option(names = "--ops", description = "the operators' file of the gateway started in this process; default:"
+            + " none, the Router alone")
     private Path operatorFile;
-    @Option(names = "--work-us", defaultValue = "5000", description = "a statement's work at a toy replica")
+    @Option(names = "--work-us", defaultValue = "5000", description = "work of a statement at a stand-in replica, in"
+            + " microseconds")
     private long workMicros;
-    @Option(names = "--per-second", defaultValue = "300", description = "requests of the even clients together")
+    @Option(names = "--per-second", defaultValue = "300", description = "requests per second of the even clients"
+            + " together")
     private double evenRequestsPerSecond;
-    @Option(names = "--clients", defaultValue = "48", description = "even clients")
+    @Option(names = "--clients", defaultValue = "48", description = "number of even clients")
     private int evenClients;
-    @Option(names = "--greedy", defaultValue = "0", description = "requests a second of one client more")
+    @Option(names = "--greedy", defaultValue = "0", description = "requests per second of an additional greedy client")
     private double greedyRequestsPerSecond;
-    @Option(names = "--manner", defaultValue = "EAGER", description = "of the greedy one: ${COMPLETION-CANDIDATES}")
+    @Option(names = "--manner", defaultValue = "EAGER",
+            description = "retry policy of the greedy client: ${COMPLETION-CANDIDATES}")
     private RetryPolicy greedyRetryPolicy;
-    @Option(names = "--seconds", defaultValue = "10", description = "of load, after two of warming up")
+    @Option(names = "--seconds", defaultValue = "10", description = "duration of the measured load, which follows two"
+            + " seconds of warm-up")
     private int seconds;
-    @Option(names = "--seed", defaultValue = "1", description = "of the script")
+    @Option(names = "--seed", defaultValue = "1", description = "seed of the request schedule")
     private long seed;
-    @Option(names = "--soft-ms", defaultValue = "500", description = "in time is within this")
+    @Option(names = "--soft-ms", defaultValue = "500", description = "soft deadline, within which a request is served"
+            + " in time, in milliseconds")
     private long softDeadlineMillis;
-    @Option(names = "--connections", defaultValue = "300", description = "at the most")
+    @Option(names = "--connections", defaultValue = "300", description = "maximum number of connections")
     private int maxConnections;
 
-    private static final int DEADLINE_MILLIS = 1200; // milliseconds, of the method history in the example
+    private static final int DEADLINE_MILLIS = 1200; // that of the method history in example/config.json
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
-    private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
-    private final ArrayDeque<Request> waiting = new ArrayDeque<>();
+    private final ArrayDeque<ClientConnection> idleConnections = new ArrayDeque<>();
+    private final ArrayDeque<Request> waitingRequests = new ArrayDeque<>();
     private InetSocketAddress address;
     private SplittableRandom random;
     private int openConnections;
     private long nextRpcId = 0x1000;
     private long startNanos;
-    private long measureFromNanos; // from when on requests count
+    private long measureFromNanos; // requests scheduled earlier are warm-up and not counted
     private long endNanos;
 
-    /** What one kind of client had. */
+    /** Statistics of the measured requests of one kind of client. */
     private static final class ClientStatistics {
         final Histogram latencyMicros = new Histogram(TimeUnit.SECONDS.toMicros(60), 3);
         long requests;
-        long inTime;
+        long requestsInTime;
         long pushedBack;
         long failed;
         long advisedRetries;
@@ -93,12 +103,13 @@
     private final ClientStatistics evenStatistics = new ClientStatistics();
     private final ClientStatistics greedyStatistics = new ClientStatistics();
 
+    /** One request of a client, over all its attempts. */
     private static final class Request {
         final String clientId;
         final ClientStatistics statistics;
         final RetryPolicy retryPolicy;
-        final long scheduledNanos; // when the script has it
-        long attemptNanos; // this try
+        final long scheduledNanos;
+        long attemptNanos; // start of the current attempt
         int attempts;
         boolean measured;
         boolean isAdvisedRetry;
@@ -122,13 +133,15 @@
             json.addProperty("listen", "127.0.0.1:0");
             json.addProperty("discovery", "127.0.0.1:" + standIn.discoveryAddress().getPort());
             Configuration configuration = Configuration.parse(json.toString());
-            gateway = operatorFile == null ? new Gateway(configuration) : new OperatorGateway(configuration, operatorFile).gateway();
+            gateway = operatorFile == null ? new Gateway(configuration)
+                    : new OperatorGateway(configuration, operatorFile).gateway();
             address = gateway.start().join();
             standIn.server("two").workMicros = workMicros;
             standIn.server("three").workMicros = workMicros;
         } else {
             int colon = gatewayAddress.lastIndexOf(':');
-            address = new InetSocketAddress(gatewayAddress.substring(0, colon), Integer.parseInt(gatewayAddress.substring(colon + 1)));
+            address = new InetSocketAddress(gatewayAddress.substring(0, colon),
+                    Integer.parseInt(gatewayAddress.substring(colon + 1)));
         }
         random = new SplittableRandom(seed);
         startNanos = System.nanoTime();
@@ -136,7 +149,8 @@
         endNanos = measureFromNanos + seconds * 1_000_000_000L;
         loop.execute(() -> {
             for (int i = 0; i < evenClients; i++) {
-                scheduleNext("even" + i, evenStatistics, RetryPolicy.POLITE, evenRequestsPerSecond / evenClients, startNanos);
+                scheduleNext("even" + i, evenStatistics, RetryPolicy.POLITE, evenRequestsPerSecond / evenClients,
+                        startNanos);
             }
             if (greedyRequestsPerSecond > 0) {
                 scheduleNext("greedy", greedyStatistics, greedyRetryPolicy, greedyRequestsPerSecond, startNanos);
@@ -163,15 +177,20 @@
 
     private void printRow(String name, ClientStatistics statistics) {
         System.out.printf(Locale.ROOT, "| %s | %,d | %.4f | %,d | %,d | %.3f | %,d | %.1f | %.1f | %.1f |%n", name,
-                statistics.requests, statistics.inTime / (double) Math.max(1, statistics.requests), statistics.pushedBack, statistics.advisedRetries,
-                statistics.advisedRetries == 0 ? 1 : statistics.advisedRetriesInTime / (double) statistics.advisedRetries, statistics.failed,
-                statistics.latencyMicros.getValueAtPercentile(50) / 1e3, statistics.latencyMicros.getValueAtPercentile(99) / 1e3,
+                statistics.requests, statistics.requestsInTime / (double) Math.max(1, statistics.requests),
+                statistics.pushedBack, statistics.advisedRetries,
+                statistics.advisedRetries == 0 ? 1
+                        : statistics.advisedRetriesInTime / (double) statistics.advisedRetries,
+                statistics.failed, statistics.latencyMicros.getValueAtPercentile(50) / 1e3,
+                statistics.latencyMicros.getValueAtPercentile(99) / 1e3,
                 statistics.latencyMicros.getValueAtPercentile(99.9) / 1e3);
     }
 
-    // ---- The script ----
+    // ---- Requests ----
 
-    private void scheduleNext(String clientId, ClientStatistics statistics, RetryPolicy retryPolicy, double requestsPerSecond, long previousNanos) {
+    /** Schedules the next request of a client's Poisson process, which then schedules the one after it. */
+    private void scheduleNext(String clientId, ClientStatistics statistics, RetryPolicy retryPolicy,
+            double requestsPerSecond, long previousNanos) {
         long scheduledNanos = previousNanos + (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e9);
         if (scheduledNanos >= endNanos) {
             return;
@@ -187,11 +206,11 @@
 
     private void sendRequest(Request request) {
         request.attempts++;
-        ClientConnection connection = idle.pollLast();
+        ClientConnection connection = idleConnections.pollLast();
         if (connection != null) {
             connection.send(request);
         } else {
-            waiting.addLast(request);
+            waitingRequests.addLast(request);
             if (openConnections < maxConnections) {
                 connect();
             }
@@ -208,15 +227,17 @@
                 }).connect(address).addListener(f -> openConnections -= f.isSuccess() ? 0 : 1);
     }
 
+    /** Records the end of an attempt and schedules a retry if it was pushed back and the client retries. */
     private void requestEnded(Request request, boolean ok, String sqlState, long retryAfterMillis) {
         long now = System.nanoTime();
         boolean inTime = ok && now - request.attemptNanos <= softDeadlineMillis * 1_000_000;
         if (request.measured && ok) {
-            request.statistics.latencyMicros.recordValue(Math.min(TimeUnit.SECONDS.toMicros(59), (now - request.scheduledNanos) / 1000));
+            request.statistics.latencyMicros.recordValue(
+                    Math.min(TimeUnit.SECONDS.toMicros(59), (now - request.scheduledNanos) / 1000));
         }
         if (request.measured && inTime && !request.servedInTime) {
             request.servedInTime = true;
-            request.statistics.inTime++;
+            request.statistics.requestsInTime++;
         }
         if (request.measured && request.isAdvisedRetry) {
             request.statistics.advisedRetriesInTime += inTime ? 1 : 0;
@@ -240,7 +261,7 @@
         }, delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** One connection. */
+    /** A client connection, which carries one request at a time. */
     private final class ClientConnection extends ChannelInboundHandlerAdapter {
         private Channel channel;
         private Request request;
@@ -259,8 +280,8 @@
             retryAfterMillis = 0;
             ByteBuf out = channel.alloc().buffer(160);
             channel.writeAndFlush(Messages.query(out, "/* id=" + Long.toHexString(nextRpcId++) + ",c=history,t=acme,d="
-                    + DEADLINE_MILLIS + (newRequest.attempts > 1 ? ",r=1" : "") + ",cluster=1 */ SELECT data FROM facts WHERE code = '"
-                    + newRequest.clientId + "'"));
+                    + DEADLINE_MILLIS + (newRequest.attempts > 1 ? ",r=1" : "")
+                    + ",cluster=1 */ SELECT data FROM facts WHERE code = '" + newRequest.clientId + "'"));
         }
 
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -286,21 +307,21 @@
         }
 
         private void takeWaitingRequest() {
-            Request next = waiting.pollFirst();
+            Request next = waitingRequests.pollFirst();
             if (next != null) {
                 send(next);
             } else {
-                idle.addLast(this);
+                idleConnections.addLast(this);
             }
         }
 
         @Override public void channelInactive(ChannelHandlerContext ctx) {
             openConnections--;
-            idle.remove(this);
+            idleConnections.remove(this);
             if (request != null) {
                 requestEnded(request, false, "closed", 0);
             }
-            if (!waiting.isEmpty() && ready) {
+            if (!waitingRequests.isEmpty() && ready) {
                 connect();
             }
         }
