--- a/lab/src/test/java/reedquay/lab/FairQueueScenariosTest.java
+++ b/lab/src/test/java/reedquay/lab/FairQueueScenariosTest.java
@@ -63,7 +63,7 @@
             assertTrue(share >= 0.99, retryPolicy + " " + share);
         }
         assertTrue(othersRelativeUtility(AdmissionMode.NOTHING, 1,
-                List.of(greedyStream("red", 20, RetryPolicy.EAGER))) < 0.95, "the Router alone does not protect others");
+                List.of(greedyStream("red", 20, RetryPolicy.EAGER))) < 0.95, "the Router alone protects nobody");
         assertTrue(othersRelativeUtility(AdmissionMode.TENANTS, 1,
                 List.of(greedyStream("red", 20, RetryPolicy.EAGER))) < 0.95, "queues by tenant do not protect others");
     }
--- a/src/main/java/reedquay/cli/Commands.java
+++ b/src/main/java/reedquay/cli/Commands.java
@@ -4,10 +4,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine;
 import reedquay.Main;
 import reedquay.ops.OperatorConfig;
 
