--- a/lab/src/main/java/reedquay/lab/TraceSummary.java
+++ b/lab/src/main/java/reedquay/lab/TraceSummary.java
@@ -20,24 +20,29 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Sums of the ways of RPCs over the logs of a fleet. */
-@Command(name = "why", mixinStandardHelpOptions = true, description = "What became of RPCs, and by what reasons,"
-        + " from logs of gateways started with -Dreedquay.trace=true.")
+/** Prints tables of the outcomes of RPCs and the reasons of pushbacks, summed over the logs of gateways. */
+@Command(name = "why", mixinStandardHelpOptions = true, description = "Outcomes of RPCs and reasons of pushbacks,"
+        + " from the logs of gateways started with -Dreedquay.trace=true.")
 final class TraceSummary implements Callable<Integer> {
     @Spec private CommandSpec spec;
-    @Parameters(paramLabel = "LOGS", description = "a folder of logs, a file for each gateway, or one file")
+    @Parameters(paramLabel = "LOGS", description = "a directory with one log file per gateway, or one file")
     private Path logs;
-    @Option(names = "--from", defaultValue = "0", description = "seconds after the first line")
+    @Option(names = "--from", defaultValue = "0", description = "start of the time range, in seconds after the first"
+            + " line; attempts accepted earlier are left out")
     private double fromSeconds;
-    @Option(names = "--to", defaultValue = "1e9", description = "seconds after the first line")
+    @Option(names = "--to", defaultValue = "1e9", description = "end of the time range, in seconds after the first"
+            + " line; attempts accepted later are left out")
     private double toSeconds;
-    @Option(names = "--method", description = "the reasons of this method's pushbacks; else of all")
+    @Option(names = "--method", description = "print the reasons of this method's pushbacks; default: all methods")
     private String method;
-    @Option(names = "--by-second", description = "first tries, all tries and those served, by second")
+    @Option(names = "--by-second", description = "also print first attempts, all attempts and those served, per"
+            + " second")
     private boolean bySecond;
-    @Option(names = "--group", description = "what each member of this group was sent and answered, by two seconds")
+    @Option(names = "--group", description = "also print the call-outs sent to and answered by each member of this"
+            + " group, per two seconds")
     private Integer group;
-    @Option(names = "--rpc", description = "the way of this RPC alone, by its id as the wire has it")
+    @Option(names = "--rpc", description = "print only the lines of the RPC with this ID, in hexadecimal as in the"
+            + " statement's comment")
     private String rpcId;
 
     @Override public Integer call() throws IOException {
@@ -50,7 +55,7 @@
             return reportIfEmpty(lines.isEmpty(), "no line of RPC " + rpcId);
         }
         RpcTrace trace = RpcTrace.read(logs);
-        if (reportIfEmpty(trace.attempts.isEmpty(), "no way of any RPC") != 0) {
+        if (reportIfEmpty(trace.attempts.isEmpty(), "no trace of any RPC") != 0) {
             return 1;
         }
         trace.attempts.removeIf(t -> outsideRange(t.atMillis));
@@ -67,6 +72,7 @@
         return 0;
     }
 
+    /** Returns the exit status: 1, with an error message, if nothing was found, else 0. */
     private int reportIfEmpty(boolean empty, String missing) {
         if (empty) {
             System.err.println(missing + " in " + logs + "; start the gateways with -Dreedquay.trace=true before -jar");
@@ -78,7 +84,7 @@
         return atMillis < fromSeconds * 1000 || atMillis >= toSeconds * 1000;
     }
 
-    /** Tries and call-outs of each method by how they ended. */
+    /** Returns the table of attempts and call-outs of each method by outcome. */
     static List<String> methodTable(RpcTrace trace) {
         List<String> lines = new ArrayList<>(List.of("",
                 "| method | tries | of them retries | left under 300 ms | first tries ok | retries ok | how tries ended"
@@ -86,7 +92,8 @@
                 "| --- | --- | --- | --- | --- | --- | --- | --- | --- |"));
         for (String name : new TreeSet<>(trace.attempts.stream().map(t -> t.method).toList())) {
             List<RpcTrace.Attempt> attempts = trace.attempts.stream().filter(t -> t.method.equals(name)).toList();
-            List<RpcTrace.EndedCallOut> ended = trace.endedCallOuts.stream().filter(e -> e.attempt().method.equals(name)).toList();
+            List<RpcTrace.EndedCallOut> ended =
+                    trace.endedCallOuts.stream().filter(e -> e.attempt().method.equals(name)).toList();
             Map<String, long[]> sumsByOutcome = new TreeMap<>();
             ended.forEach(e -> {
                 long[] sum = sumsByOutcome.computeIfAbsent(e.outcome(), outcome -> new long[2]);
@@ -94,17 +101,20 @@
                 sum[1] += e.durationMillis();
             });
             List<String> outcomes = new ArrayList<>();
-            sumsByOutcome.forEach((outcome, sum) -> outcomes.add(outcome + " " + sum[0] + " (" + sum[1] / sum[0] + ")"));
+            sumsByOutcome.forEach((outcome, sum) ->
+                    outcomes.add(outcome + " " + sum[0] + " (" + sum[1] / sum[0] + ")"));
             lines.add("| " + name + " | " + attempts.size() + " | " + count(attempts, t -> t.retry) + " | "
-                    + count(attempts, t -> t.deadlineMillis < 300) + " | " + count(attempts, t -> !t.retry && t.outcome.equals("ok")) + " | "
-                    + count(attempts, t -> t.retry && t.outcome.equals("ok")) + " | " + countByWord(attempts.stream().map(t -> t.outcome))
-                    + " | " + attempts.stream().mapToInt(t -> t.members.size()).sum() + " | " + String.join(", ", outcomes)
-                    + " |");
+                    + count(attempts, t -> t.remainingMillis < 300) + " | "
+                    + count(attempts, t -> !t.retry && t.outcome.equals("ok")) + " | "
+                    + count(attempts, t -> t.retry && t.outcome.equals("ok")) + " | "
+                    + countByWord(attempts.stream().map(t -> t.outcome)) + " | "
+                    + attempts.stream().mapToInt(t -> t.calledMembers.size()).sum() + " | "
+                    + String.join(", ", outcomes) + " |");
         }
         return lines;
     }
 
-    /** Pushbacks by what they went by, the most frequent first. */
+    /** Returns the table of the 16 most frequent reasons of pushbacks; a null method stands for all. */
     static List<String> pushbackTable(RpcTrace trace, String method) {
         List<RpcTrace.Attempt> pushedBack = trace.attempts.stream().filter(t -> t.outcome.equals("pushedback"))
                 .filter(t -> method == null || t.method.equals(method)).toList();
@@ -119,6 +129,7 @@
         return lines;
     }
 
+    /** Returns the table of attempts of each method per second. */
     private static List<String> secondTable(RpcTrace trace) {
         TreeSet<String> names = new TreeSet<>(trace.attempts.stream().map(attempt -> attempt.method).toList());
         List<String> lines = new ArrayList<>(List.of("", "| second | " + String.join(" | ", names) + " |",
@@ -131,14 +142,15 @@
             sum[1] += attempt.retry ? 0 : 1;
             sum[2]++;
         }
-        sums.forEach((second, byMethod) -> lines.add("| " + second + " | " + String.join(" | ", names.stream().map(name -> {
+        sums.forEach((second, byMethod) -> lines.add("| " + second + " | "
+                + String.join(" | ", names.stream().map(name -> {
             int[] sum = byMethod.getOrDefault(name, new int[3]);
             return sum[0] + " ok of " + sum[1] + " first, " + sum[2] + " tries";
         }).toList()) + " |"));
         return lines;
     }
 
-    /** Of each member of a group: call-outs sent and those answered well, in steps of two seconds. */
+    /** Returns the table of call-outs of each member of a group, answered successfully and sent, per two seconds. */
     static List<String> memberTable(RpcTrace trace, int group) {
         Map<String, TreeMap<Long, int[]>> sums = new TreeMap<>();
         TreeSet<Long> steps = new TreeSet<>();
@@ -147,16 +159,18 @@
             sums.computeIfAbsent(sent.member(), member -> new TreeMap<>())
                     .computeIfAbsent(Math.floorDiv(sent.atMillis(), 2000), k -> new int[2])[0]++;
         });
-        trace.endedCallOuts.stream().filter(ended -> ended.attempt().group == group && ended.outcome().equals("OK")).forEach(ended -> {
+        trace.endedCallOuts.stream().filter(ended -> ended.attempt().group == group
+                && ended.outcome().equals("OK")).forEach(ended -> {
             steps.add(Math.floorDiv(ended.atMillis(), 2000));
             sums.computeIfAbsent(ended.member(), member -> new TreeMap<>())
                     .computeIfAbsent(Math.floorDiv(ended.atMillis(), 2000), k -> new int[2])[1]++;
         });
         List<String> lines = new ArrayList<>(List.of("", "| member of group " + group + ", answered / sent | "
-                + String.join(" | ", steps.stream().map(sent -> "from " + sent * 2 + " s").toList()) + " |",
+                + String.join(" | ", steps.stream().map(step -> "from " + step * 2 + " s").toList()) + " |",
                 "| --- |" + " --- |".repeat(steps.size())));
-        sums.forEach((member, byStep) -> lines.add("| " + member + " | " + String.join(" | ", steps.stream().map(sent -> {
-            int[] sum = byStep.getOrDefault(sent, new int[2]);
+        sums.forEach((member, byStep) -> lines.add("| " + member + " | "
+                + String.join(" | ", steps.stream().map(step -> {
+            int[] sum = byStep.getOrDefault(step, new int[2]);
             return sum[1] + " / " + sum[0];
         }).toList()) + " |"));
         return lines;
@@ -166,6 +180,7 @@
         return attempts.stream().filter(condition::apply).count();
     }
 
+    /** Returns each distinct word with its number of occurrences. */
     private static String countByWord(Stream<String> words) {
         Map<String, Integer> counts = new TreeMap<>();
         words.forEach(w -> counts.merge(w, 1, Integer::sum));
--- a/lab/src/test/java/reedquay/lab/RpcTraceTest.java
+++ b/lab/src/test/java/reedquay/lab/RpcTraceTest.java
@@ -13,10 +13,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
+/** Tests the trace parser, its summary tables and the table of journal entries. */
 class RpcTraceTest {
     @TempDir private Path logs;
 
-    /** Two gateways: one served after a retry elsewhere, over midnight, and lines that are no ways. */
+    /**
+     * Logs of two gateways that span midnight: an attempt pushed back by one, a retry served by the other, and lines
+     * that belong to no attempt.
+     */
     @Test void attemptsAreSummedOverGatewayLogs() throws Exception {
         Files.write(logs.resolve("a.log"), List.of("listening on /127.0.0.1:1",
                 "1.0 23:59:59.900 FINE rpc a1 taken: order, group 4, due in 500 ms",
@@ -29,7 +33,8 @@
                 "2.1 00:00:01.040 FINE rpc b2 OK of s-1 after 39 ms", "2.1 00:00:01.040 FINE rpc b2 rpc.ok"));
         RpcTrace trace = RpcTrace.read(logs);
         assertEquals(List.of(0L, 1100L), trace.attempts.stream().map(t -> t.atMillis).toList());
-        assertEquals("| order | 2 | 1 | 1 | 0 | 1 | ok 1, pushedback 1 | 1 | OK 1 (39) |", TraceSummary.methodTable(trace).get(3));
+        assertEquals("| order | 2 | 1 | 1 | 0 | 1 | ok 1, pushedback 1 | 1 | OK 1 (39) |",
+                TraceSummary.methodTable(trace).get(3));
         assertEquals("| primary UNKNOWN cold | 1.000 |", TraceSummary.pushbackTable(trace, "order").get(3));
         assertEquals("| s-1 | 1 / 1 |", TraceSummary.memberTable(trace, 4).get(3));
         assertEquals(4, RpcTrace.linesOf(logs, "b2").size());
@@ -40,7 +45,7 @@
         CommandLine command = new CommandLine(new TraceSummary()).setErr(new PrintWriter(errors));
         assertEquals(2, command.execute(logs.resolve("none").toString()));
         assertTrue(errors.toString().contains("does not exist; name the folder"), errors.toString());
-        assertEquals(1, command.execute(logs.toString()), "no ways in it");
+        assertEquals(1, command.execute(logs.toString()), "the directory has no trace");
         assertEquals(1, command.execute(logs.toString(), "--rpc", "a1"));
     }
 
@@ -53,7 +58,8 @@
         assertEquals(List.of("| ab | 01234567 | roll 4 | 90, 60 | 0.500 (0.400) | a 0.500 / 0.250; b 0.300 / 0.400"
                 + " | 0.75 | lost 2 |"), JournalTable.rows(JsonParser.parseString(entry).getAsJsonObject(), null));
         Files.writeString(logs.resolve("two.json"), "[");
-        assertEquals(1, new CommandLine(new JournalTable()).execute(logs.toString()), "told, and the others go on");
+        assertEquals(1, new CommandLine(new JournalTable()).execute(logs.toString()),
+                "an unreadable entry is reported and the others are printed");
         assertEquals(2, new CommandLine(new JournalTable()).setErr(new PrintWriter(new StringWriter()))
                 .execute(logs.resolve("none").toString()));
     }
