--- a/lab/src/main/java/reedquay/lab/JournalTable.java
+++ b/lab/src/main/java/reedquay/lab/JournalTable.java
@@ -21,18 +21,21 @@
 import picocli.CommandLine.Spec;
 
 /**
- * A table of the days in journal entries that tell shares by method: where docs/fleet.md has its rows from. The
- * Router's text is named by the first signs of its checksum, as its copy in journal/blobs is.
+ * Prints a table of the simulated days in journal entries that record shares by method; the tables of docs/fleet.md are
+ * its output. The version of the Router is given by the first eight characters of the checksum of its source text,
+ * which also name the copy of that text in journal/blobs.
  */
 @Command(name = "played", mixinStandardHelpOptions = true,
-        description = "The days of journal entries, with what was served of each method and what was wanted.")
+        description = "The days of journal entries, with the share of each method that was served and the share that"
+        + " was required.")
 final class JournalTable implements Callable<Integer> {
     @Spec private CommandSpec spec;
-    @Parameters(paramLabel = "JOURNAL", description = "the folder of entries, or one entry")
+    @Parameters(paramLabel = "JOURNAL", description = "the directory of journal entries, or one entry")
     private Path journal;
-    @Option(names = "--day", description = "this kind of day alone, such as join+mass")
+    @Option(names = "--day", description = "print only days of this name, such as join+mass")
     private String day;
-    @Option(names = "--since", description = "entries whose file names come no earlier, such as 20261201T22")
+    @Option(names = "--since", description = "print only entries whose file names are not before this text in"
+            + " alphabetical order, such as 20261201T22")
     private String since;
 
     @Override public Integer call() throws IOException {
@@ -51,7 +54,7 @@
                 rows(entry, day).forEach(System.out::println);
             } catch (JsonParseException | IllegalStateException | ClassCastException | NullPointerException e) {
                 skipped++;
-                System.err.println(file + " is no entry of this kind and is passed over");
+                System.err.println(file + " is not a journal entry with days as this table reads them; skipped");
             }
         }
         return skipped == 0 ? 0 : 1;
@@ -63,7 +66,7 @@
         }
     }
 
-    /** One row a day; none for days that tell no shares by method. */
+    /** Returns one row for each day that records shares by method; a null day stands for days of all names. */
     static List<String> rows(JsonObject entry, String day) {
         List<String> rows = new ArrayList<>();
         for (JsonElement element : entry.has("days") ? entry.getAsJsonArray("days") : new JsonArray()) {
@@ -76,8 +79,8 @@
             double least = Double.MAX_VALUE;
             for (JsonElement method : dayObject.getAsJsonArray("by_class")) {
                 JsonArray share = method.getAsJsonArray();
-                shares.add(String.format(Locale.ROOT, "%s %.3f / %.3f", share.get(0).getAsString(), share.get(1).getAsDouble(),
-                        share.get(2).getAsDouble()));
+                shares.add(String.format(Locale.ROOT, "%s %.3f / %.3f", share.get(0).getAsString(),
+                        share.get(1).getAsDouble(), share.get(2).getAsDouble()));
                 least = Math.min(least, share.get(1).getAsDouble() / share.get(2).getAsDouble());
             }
             List<String> violations = new ArrayList<>();
@@ -86,8 +89,9 @@
             String checksum = entry.getAsJsonArray("policy").get(0).getAsJsonObject().get("sha256").getAsString();
             rows.add(String.format(Locale.ROOT, "| %s | %s | %s %s | %s, %s | %.3f (%.3f) | %s | %.2f | %s |",
                     entry.get("id").getAsString(), checksum.substring(0, Math.min(8, checksum.length())),
-                    dayObject.get("name").getAsString(), dayObject.get("seed").getAsString(), dayObject.get("nodes").getAsString(),
-                    dayObject.get("servers").getAsString(), dayObject.get("served").getAsDouble(), dayObject.get("served_least").getAsDouble(),
+                    dayObject.get("name").getAsString(), dayObject.get("seed").getAsString(),
+                    dayObject.get("nodes").getAsString(), dayObject.get("servers").getAsString(),
+                    dayObject.get("served").getAsDouble(), dayObject.get("served_least").getAsDouble(),
                     String.join("; ", shares), least, violations.isEmpty() ? "none" : String.join(", ", violations)));
         }
         return rows;
