--- a/example/StandIn.java
+++ b/example/StandIn.java
@@ -38,29 +38,35 @@
 import reedquay.pg.Messages;
 
 /**
- * A toy primary with replicas and their discovery, written from the published protocols, to try a gateway with and
- * to test it against. All of it runs on one event loop of its own; ports are chosen by the system unless given.
+ * A stand-in for a primary, its replicas and their discovery service, to try a gateway with and to test it against. It
+ * implements the parts of the published protocols that a gateway uses, and can inject faults. All of it runs on one
+ * event loop of its own; ports are chosen by the system unless given.
  */
 public final class StandIn implements AutoCloseable {
     private static final Pattern READ = Pattern.compile("SELECT data FROM facts WHERE code = '([^']*)'.*");
     private static final Pattern WRITE = Pattern.compile(
             "INSERT INTO facts \\(code, data\\) VALUES \\('([^']*)', '([^']*)'\\) RETURNING data.*");
 
-    private record Row(long position, String code, String data) { }
+    /** A row with the position of its commit. */
+    private record CommittedRow(long position, String code, String data) { }
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final Map<String, Server> servers = new LinkedHashMap<>();
-    private final List<Row> commitLog = new ArrayList<>();
+    private final List<CommittedRow> commitLog = new ArrayList<>();
     private final Set<Channel> watches = new LinkedHashSet<>();
     private Channel discoveryListener;
     private final long heartbeatMillis;
     private long lastCommitPosition;
     private long generation;
-    /** What a watch asked for, in their order. */
+    /** URIs of all watch requests so far, in the order of arrival. */
     public final List<String> watchRequests = new CopyOnWriteArrayList<>();
+    /** Whether discovery sends neither heartbeats nor the initial list to watches, which stay open. */
     public volatile boolean discoverySilent;
 
-    /** discoveryPort 0: the system chooses. The first member is the primary. */
+    /**
+     * Starts one member for each name, of which the first is the primary, and discovery, on a port chosen by the system
+     * if discoveryPort is 0. Watches get a heartbeat, an empty line, every heartbeatMillis.
+     */
     public StandIn(int discoveryPort, long heartbeatMillis, String... names) {
         this.heartbeatMillis = heartbeatMillis;
         for (String name : names) {
@@ -76,7 +82,7 @@
         }, heartbeatMillis, heartbeatMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Discovery listens at another port, 0 for any; the old one takes no new watch and keeps those it has. */
+    /** Moves discovery to another port, 0 for any. The old port accepts no new watches; open watches stay open. */
     public void moveDiscovery(int port) {
         if (discoveryListener != null) {
             discoveryListener.close().syncUninterruptibly();
@@ -88,17 +94,19 @@
         });
     }
 
-    /** How many watches are open. */
+    /** Returns the number of open watches. */
     public int openWatches() {
         int[] count = new int[1];
         runOnEventLoop(() -> count[0] = watches.size());
         return count[0];
     }
 
+    /** Returns the member of that name, or null. */
     public Server server(String name) {
         return servers.get(name);
     }
 
+    /** Returns the address that discovery listens on. */
     public InetSocketAddress discoveryAddress() {
         return (InetSocketAddress) discoveryListener.localAddress();
     }
@@ -113,39 +121,50 @@
         group.shutdownGracefully(0, 5, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Runs it on the event loop, to its end. */
+    /** Runs a change on the event loop and waits for its end. */
     public void runOnEventLoop(Runnable change) {
         group.next().submit(change).syncUninterruptibly();
     }
 
     // ---- Members ----
 
-    /** One member. Its public fields may be set at any time and act on the next statement. */
+    /** One member. Its public fields may be set at any time and take effect from the next statement on. */
     public final class Server {
+        /** The member's name, which is its instance ID in discovery. */
         public final String name;
+        /** Whether it is the primary. */
         public volatile boolean primary;
-        /** How far a replica is behind. */
+        /** How far a replica's position is behind, in milliseconds. */
         public volatile long lagMillis = 5;
         /**
-         * Empty for none; an SQLSTATE it answers with; "silent", "reset" (breaks when the statement is in), "half"
-         * (breaks after CommandComplete), "garbage", "crowded" (admits nobody), or "mute" (never admits). Answers are
-         * spoilt by "norow", "tworows", "backwards", "misfit", "huge" or "unended"; they are good with a surplus by
-         * "twice", "noise" or "future" (a position that can't be).
+         * The fault to inject: empty for none, an SQLSTATE to answer statements with, or one of these.
+         * Connections: "crowded" refuses new ones with SQLSTATE 53300, "mute" never answers the startup message.
+         * Statements: "silent" never answers (probes included), "reset" closes the connection on arrival, "half" closes
+         * it between CommandComplete and ReadyForQuery, "garbage" answers with a message of an unknown type.
+         * Malformed answers: "norow" lacks the row, "tworows" has a second row instead of CommandComplete, "backwards"
+         * has the row before its description and no CommandComplete, "misfit" has a value longer than its row, "huge"
+         * has a row message of a length near 2^31, "unended" has a string without its terminating zero.
+         * Correct answers with an addition: "twice" repeats the answer, "noise" adds stray bytes, "future" reports a
+         * position far in the future.
          */
         public volatile String fault = "";
+        /** The lifecycle state in discovery: ready, draining or gone. */
         public volatile String lifecycle = "ready";
+        /** The start time in discovery, in milliseconds since the epoch. */
         public volatile long startedAtMs;
-        /** How long a statement takes its one core, in microseconds; 0: none. Others wait, up to so many. */
+        /** Work of a statement on the member's single core, in microseconds; 0 answers at once. */
         public volatile long workMicros;
+        /** Number of statements, with the running one, above which others are refused with SQLSTATE 53300. */
         public volatile int maxQueuedStatements = 1000;
         private int queuedStatements;
         private long freeAtNanos;
-        /** Statements that came in whole, probes left out. */
+        /** Texts of all complete statements received so far, without probes. */
         public final List<String> statements = new CopyOnWriteArrayList<>();
+        /** Texts of all probes received so far. */
         public final List<String> probes = new CopyOnWriteArrayList<>();
         /** Connections accepted so far. */
         public volatile int acceptedConnections;
-        private final Set<Channel> open = new LinkedHashSet<>();
+        private final Set<Channel> openChannels = new LinkedHashSet<>();
         private Channel listener;
         private int port;
 
@@ -154,15 +173,16 @@
             this.primary = primary;
         }
 
+        /** Returns the number of open connections. */
         public int openConnections() {
             int[] count = new int[1];
-            runOnEventLoop(() -> count[0] = open.size());
+            runOnEventLoop(() -> count[0] = openChannels.size());
             return count[0];
         }
 
-        /** Listens; port 0 is chosen by the system. */
-        public void start(int atPort) {
-            listener = listen(atPort, new ChannelInitializer<Channel>() {
+        /** Listens on a port, 0 for one chosen by the system. */
+        public void start(int newPort) {
+            listener = listen(newPort, new ChannelInitializer<Channel>() {
                 @Override protected void initChannel(Channel channel) {
                     channel.pipeline().addLast(FrameDecoder.forClient(1 << 20), new Session(Server.this));
                 }
@@ -170,27 +190,30 @@
             port = ((InetSocketAddress) listener.localAddress()).getPort();
         }
 
+        /** Returns the port that it listens on. */
         public int port() {
             return port;
         }
 
-        /** Dies: refuses new connections and resets those it has. */
+        /** Stops as if the process had died: refuses new connections and closes the open ones. */
         public void stop() {
             listener.close().syncUninterruptibly();
             closeConnections();
         }
 
-        /** Ends the connections it has, as a server does with idle ones. */
+        /** Closes all open connections, as a database server does with idle ones. */
         public void closeConnections() {
-            runOnEventLoop(() -> new ArrayList<>(open).forEach(Channel::close));
+            runOnEventLoop(() -> new ArrayList<>(openChannels).forEach(Channel::close));
         }
 
+        /** Returns the replay position, in milliseconds since the epoch. */
         private long position() {
             long now = System.currentTimeMillis();
             return primary ? now : now - lagMillis;
         }
     }
 
+    /** The member's side of a connection. */
     private final class Session extends ChannelInboundHandlerAdapter {
         private final Server server;
 
@@ -200,11 +223,11 @@
 
         @Override public void channelActive(ChannelHandlerContext ctx) {
             server.acceptedConnections++;
-            server.open.add(ctx.channel());
+            server.openChannels.add(ctx.channel());
         }
 
         @Override public void channelInactive(ChannelHandlerContext ctx) {
-            server.open.remove(ctx.channel());
+            server.openChannels.remove(ctx.channel());
         }
 
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -212,7 +235,8 @@
             try {
                 if (frame.type == Frame.UNTYPED) {
                     if (server.fault.equals("crowded")) {
-                        ctx.writeAndFlush(Messages.errorResponse(ctx.alloc().buffer(), "FATAL", "53300", "crowded", null));
+                        ctx.writeAndFlush(
+                                Messages.errorResponse(ctx.alloc().buffer(), "FATAL", "53300", "crowded", null));
                         ctx.close();
                     } else if (!server.fault.equals("mute")) {
                         ctx.write(Messages.readyForQuery(Messages.startupResponse(ctx.alloc().buffer(), 1, 1)));
@@ -252,6 +276,7 @@
             respond(ctx, out, text);
         }
 
+        /** Answers after the work of the statement and of those queued before it. */
         private void queueStatement(ChannelHandlerContext ctx, ByteBuf out, String text) {
             if (server.queuedStatements >= server.maxQueuedStatements) {
                 writeError(ctx, out, "53300");
@@ -267,6 +292,7 @@
             }, server.freeAtNanos - now, TimeUnit.NANOSECONDS);
         }
 
+        /** Answers a statement as the injected fault has it. */
         private void respond(ChannelHandlerContext ctx, ByteBuf out, String text) {
             switch (server.fault) {
                 case "silent" -> out.release();
@@ -281,11 +307,12 @@
             }
         }
 
-        private void writeError(ChannelHandlerContext ctx, ByteBuf out, String code) {
-            Messages.errorResponse(out, "ERROR", code, "as told", null);
+        private void writeError(ChannelHandlerContext ctx, ByteBuf out, String sqlState) {
+            Messages.errorResponse(out, "ERROR", sqlState, "as told", null);
             ctx.write(Messages.readyForQuery(writePositionAndRole(out, server.position())));
         }
 
+        /** Executes a statement and writes its answer, with the injected fault. */
         private void execute(ChannelHandlerContext ctx, ByteBuf out, String sql, boolean commented) {
             Matcher write = WRITE.matcher(sql);
             Matcher read = READ.matcher(sql);
@@ -299,28 +326,31 @@
                 if (write.matches()) {
                     data = write.group(2);
                     position = lastCommitPosition = Math.max(position, lastCommitPosition + 1);
-                    commitLog.add(new Row(position, write.group(1), data));
+                    commitLog.add(new CommittedRow(position, write.group(1), data));
                 } else {
-                    for (Row fact : commitLog) {
-                        data = fact.code.equals(read.group(1)) && fact.position <= position ? fact.data : data;
+                    for (CommittedRow committed : commitLog) {
+                        data = committed.code.equals(read.group(1)) && committed.position <= position
+                                ? committed.data : data;
                     }
                 }
-                int from = out.writerIndex();
+                int answerStart = out.writerIndex();
                 writeResult(out, data);
-                int description = 5 + out.getInt(from + 1) - 4;
-                int row = from + description;
-                int completion = row + 1 + out.getInt(row + 1);
+                int descriptionLength = 5 + out.getInt(answerStart + 1) - 4;
+                int rowStart = answerStart + descriptionLength;
+                int completionStart = rowStart + 1 + out.getInt(rowStart + 1);
                 switch (server.fault) {
-                    case "norow" -> out.setBytes(row, out.copy(completion, out.writerIndex() - completion))
-                            .writerIndex(out.writerIndex() - (completion - row));
-                    case "tworows" -> out.writerIndex(completion).writeBytes(out.copy(row, completion - row));
+                    case "norow" -> out
+                            .setBytes(rowStart, out.copy(completionStart, out.writerIndex() - completionStart))
+                            .writerIndex(out.writerIndex() - (completionStart - rowStart));
+                    case "tworows" -> out.writerIndex(completionStart)
+                            .writeBytes(out.copy(rowStart, completionStart - rowStart));
                     case "backwards" -> {
-                        ByteBuf result = out.copy(from, out.writerIndex() - from);
-                        out.writerIndex(from).writeBytes(result, description, completion - row)
-                                .writeBytes(result, 0, description);
+                        ByteBuf original = out.copy(answerStart, out.writerIndex() - answerStart);
+                        out.writerIndex(answerStart).writeBytes(original, descriptionLength, completionStart - rowStart)
+                                .writeBytes(original, 0, descriptionLength);
                     }
-                    case "misfit" -> out.setInt(row + 7, out.getInt(row + 7) + 1);
-                    case "huge" -> out.setInt(row + 1, Integer.MAX_VALUE - 9);
+                    case "misfit" -> out.setInt(rowStart + 7, out.getInt(rowStart + 7) + 1);
+                    case "huge" -> out.setInt(rowStart + 1, Integer.MAX_VALUE - 9);
                     case "unended" -> out.setByte(out.writerIndex() - 1, 'x');
                     default -> { }
                 }
@@ -330,12 +360,12 @@
                     return;
                 }
                 Messages.readyForQuery(writePositionAndRole(out, server.fault.equals("future") ? 1L << 60 : position));
-                ByteBuf all = out.copy();
+                ByteBuf answer = out.copy();
                 ctx.write(out);
                 if (server.fault.equals("twice") || server.fault.equals("noise")) {
-                    ctx.writeAndFlush(server.fault.equals("twice") ? all.retain() : Unpooled.copyShort('D', 'x'));
+                    ctx.writeAndFlush(server.fault.equals("twice") ? answer.retain() : Unpooled.copyShort('D', 'x'));
                 }
-                all.release();
+                answer.release();
             }
         }
 
@@ -351,7 +381,7 @@
 
     // ---- Discovery ----
 
-    /** Tells all watches of these members as they are now; those named alone. */
+    /** Sends the current state of the named members, or of all if none is named, to all watches. */
     public void announce(String... names) {
         runOnEventLoop(() -> {
             generation++;
@@ -360,17 +390,18 @@
         });
     }
 
-    /** Writes bytes to the watches as they are. */
+    /** Sends a text to all watches as it is, without a line end. */
     public void sendRaw(String text) {
         runOnEventLoop(() -> watches.forEach(w -> w.writeAndFlush(new DefaultHttpContent(
                 Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)))));
     }
 
+    /** Closes the connections of all watches. */
     public void closeWatches() {
         runOnEventLoop(() -> new ArrayList<>(watches).forEach(Channel::close));
     }
 
-    /** The list as discovery writes it. */
+    /** Returns a member list in the JSON form of discovery; full: it replaces earlier lists. */
     public String listJson(boolean full, String... names) {
         StringBuilder out = new StringBuilder("{\"generation\":" + generation + ",\"reset\":" + full
                 + ",\"instances\":[");
@@ -386,7 +417,7 @@
     }
 
     private static void writeLine(Channel watch, String text) {
-        // in two pieces, as a network may cut it
+        // in two chunks, since a network may split a line anywhere
         int half = text.length() / 2;
         watch.writeAndFlush(new DefaultHttpContent(
                 Unpooled.copiedBuffer(text.substring(0, half), StandardCharsets.UTF_8)));
@@ -394,6 +425,7 @@
                 Unpooled.copiedBuffer(text.substring(half) + "\n", StandardCharsets.UTF_8)));
     }
 
+    /** Discovery's side of a watch. */
     private final class Watch extends ChannelInboundHandlerAdapter {
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof HttpRequest request) {
@@ -413,12 +445,15 @@
         }
     }
 
-    // ---- By hand ----
+    // ---- Command line ----
 
     private static final String HELP = "commands: stop NAME | start NAME | drain NAME | ready NAME | gone NAME |"
             + " lag NAME MS | fault NAME SQLSTATE, silent, reset, half, garbage or none | primary NAME | quit";
 
-    /** A primary and two replicas; the one argument is discovery's port. Commands come on standard input. */
+    /**
+     * Runs a primary and two replicas, which are controlled by commands on standard input. The only argument is the
+     * port of discovery, by default 8500.
+     */
     public static void main(String[] args) throws IOException {
         int port = args.length > 0 ? Integer.parseInt(args[0]) : 8500;
         try (StandIn standIn = new StandIn(port, 2000, "one", "two", "three");
