--- a/lab/src/main/java/reedquay/lab/FairQueueScenarios.java
+++ b/lab/src/main/java/reedquay/lab/FairQueueScenarios.java
@@ -24,9 +24,9 @@
     /** Nanoseconds in a millisecond. */
     public static final long MS = GatewaySimulation.MS;
     /** A read with {@link #CHEAP_WORK_NANOS} of work. */
-    public static final Method CHEAP = read("cheap", 1);
+    public static final Method CHEAP = readMethod("cheap", 1);
     /** A read with {@link #EXPENSIVE_WORK_NANOS} of work. */
-    public static final Method EXPENSIVE = read("dear", 1);
+    public static final Method EXPENSIVE = readMethod("dear", 1);
     /** A write that is safe to retry within a second, by its token. */
     public static final Method TOKENED_WRITE = new Method("write", Method.Consistency.WRITE, 0, 400 * MS, 1500 * MS, 3,
             0.5, Method.RetrySafety.TOKENED, Method.DeduplicationScope.GROUP, 1000 * MS);
@@ -54,7 +54,7 @@
 
     private FairQueueScenarios() { }
 
-    private static Method read(String name, double utility) {
+    private static Method readMethod(String name, double utility) {
         return new Method(name, Method.Consistency.ANY, 0, 400 * MS, 1500 * MS, utility, 0,
                 Method.RetrySafety.IDEMPOTENT, Method.DeduplicationScope.ALL, 0);
     }
--- a/src/main/java/reedquay/Main.java
+++ b/src/main/java/reedquay/Main.java
@@ -90,12 +90,12 @@
             Signal.handle(new Signal("HUP"), signal -> reload.request());
             rehearse(configFile);
             // held by a strong reference, since the log manager keeps only weak ones to loggers
-            Object trace = Boolean.getBoolean("reedquay.trace") ? PersistentLogManager.enableTrace() : null;
+            Object traceLogger = Boolean.getBoolean("reedquay.trace") ? PersistentLogManager.enableTrace() : null;
             Gateway gateway = operatorGateway != null ? operatorGateway.gateway()
                     : new Gateway(Configuration.read(Path.of(configFile)));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 gateway.stop().join();
-                Reference.reachabilityFence(trace);
+                Reference.reachabilityFence(traceLogger);
                 System.out.println("counters " + gateway.counters().join());
                 System.out.flush();
                 Runtime.getRuntime().halt(0); // a requested shutdown is reported as success
