--- a/lab/src/main/java/reedquay/lab/GatewaySimulation.java
+++ b/lab/src/main/java/reedquay/lab/GatewaySimulation.java
@@ -37,9 +37,9 @@
     public enum RetryPolicy {
         /** Retries at the advised time, or after a soft deadline if none was advised; at most three times. */
         POLITE,
-        /** Retries after 1 to 5 ms whatever was advised, at most three times. */
+        /** Retries after a few milliseconds whatever was advised, at most three times. */
         EAGER,
-        /** Retries after 1 to 5 ms whatever was advised, without a limit. */
+        /** Retries after a few milliseconds whatever was advised, without a limit on their number. */
         DEAF
     }
 
