--- a/src/main/java/reedquay/core/Rpc.java
+++ b/src/main/java/reedquay/core/Rpc.java
@@ -21,7 +21,7 @@
     /** Who calls, as the front tells clients apart; null where nothing but the tenant is known. */
     public String clientId;
     /** What a stage before the decisions keeps about it; nobody else reads it. */
-    public Object filterState;
+    public Object stageState;
     /** The final answer has gone out, or the client has left. */
     public boolean ended;
     /** What the decisions keep about it; nobody else reads it. */
--- a/src/main/java/reedquay/core/Stage.java
+++ b/src/main/java/reedquay/core/Stage.java
@@ -23,13 +23,13 @@
 
     /** The tables that an operator can ask for by name, each with its column names first; null for others. */
     public List<String[]> statisticsTable(String what) {
-        return next instanceof Stage filter ? filter.statisticsTable(what) : null;
+        return next instanceof Stage nextStage ? nextStage.statisticsTable(what) : null;
     }
 
     /** Adds what it has counted, by names that begin with its own. */
     public void addCounters(Map<String, Long> all) {
-        if (next instanceof Stage filter) {
-            filter.addCounters(all);
+        if (next instanceof Stage nextStage) {
+            nextStage.addCounters(all);
         }
     }
 
--- a/src/main/java/reedquay/fair/AdmissionController.java
+++ b/src/main/java/reedquay/fair/AdmissionController.java
@@ -214,7 +214,7 @@
     @Override public void rpcArrived(Rpc rpc) {
         Ways[] ways = rpc.method == null ? null : groups.get(rpc.group);
         Turn turn = new Turn(rpc, ways == null ? null : ways[read(rpc.method) ? 0 : 1], tenant(rpc), now);
-        rpc.filterState = turn;
+        rpc.stageState = turn;
         turn.sampled = (++taken & 3) == 0;
         tallies.get(turn.tenant).in++;
         step(turn, Input.ARRIVE);
@@ -245,7 +245,7 @@
 
     @Override public void callOutEnded(CallOut call, Outcome outcome, long took, boolean ended, long position, Role role,
             LoadReport report) {
-        Turn turn = (Turn) call.rpc.filterState;
+        Turn turn = (Turn) call.rpc.stageState;
         if (outcome == Outcome.OK && sampled(turn)) {
             cost(call.rpc.method).add(took);
         }
@@ -259,7 +259,7 @@
     }
 
     @Override public void sendCallOut(CallOut call, long limit) {
-        Turn turn = (Turn) call.rpc.filterState;
+        Turn turn = (Turn) call.rpc.stageState;
         if (!turn.sent && turn.ways != null && plain(call.rpc)) {
             turn.held = now > turn.inside;
             boolean answers = now - brisk <= turn.ways.okAt; // else it is gone or unknown, and not full
@@ -272,7 +272,7 @@
     }
 
     @Override public void clientGone(Rpc rpc) {
-        Turn turn = (Turn) rpc.filterState;
+        Turn turn = (Turn) rpc.stageState;
         step(turn, Input.GONE);
         if (turn.seen) { // the Router knows of no other
             next.clientGone(rpc);
@@ -280,11 +280,11 @@
     }
 
     @Override public String explain(Rpc rpc) {
-        return ((Turn) rpc.filterState).seen ? next.explain(rpc) : "at the door, " + why;
+        return ((Turn) rpc.stageState).seen ? next.explain(rpc) : "at the door, " + why;
     }
 
     @Override public void deadlineShortened(Rpc rpc) {
-        Turn turn = (Turn) rpc.filterState;
+        Turn turn = (Turn) rpc.stageState;
         if (turn.state == State.WAITING) { // guards what waits against a stop that comes before its turn
             offWheel(turn);
             turn.until = Math.min(turn.until, turn.arrived + (rpc.deadline - turn.arrived) / 2 - spokeWidth);
@@ -296,14 +296,14 @@
 
     @Override public void pushBack(Rpc rpc, long after) {
         why = Reason.MEMBERS;
-        Turn turn = (Turn) rpc.filterState;
+        Turn turn = (Turn) rpc.stageState;
         tallies.get(turn.tenant).pushedBack[Reason.MEMBERS.ordinal()]++;
         step(turn, Input.AWAY);
         actions.pushBack(rpc, turn.ways == null ? after : members(turn, after));
     }
 
     @Override public void abort(Rpc rpc) {
-        step((Turn) rpc.filterState, Input.GONE);
+        step((Turn) rpc.stageState, Input.GONE);
         actions.abort(rpc);
     }
 
--- a/src/test/java/reedquay/fair/TurnsTest.java
+++ b/src/test/java/reedquay/fair/TurnsTest.java
@@ -225,17 +225,17 @@
         for (int i = 0; i < 100; i++) {
             waits.add(d.ask("c" + i, WRITE, 60_000));
         }
-        waits.forEach(r -> keys.add(((Turn) r.filterState).key));
+        waits.forEach(r -> keys.add(((Turn) r.stageState).key));
         assertEquals(100, keys.size());
         d.now += 64 * 400 * MS;
         d.alarm = Long.MAX_VALUE;
         for (Rpc r : waits) { // nobody is late for this
-            ((Turn) r.filterState).until += 1_000_000 * MS;
+            ((Turn) r.stageState).until += 1_000_000 * MS;
         }
         long before = d.waiting();
         d.batch(() -> { });
         waits.stream().filter(r -> !r.ended && !d.seen.contains(r))
-                .forEach(r -> assertTrue(keys.add(((Turn) r.filterState).key), "another key"));
+                .forEach(r -> assertTrue(keys.add(((Turn) r.stageState).key), "another key"));
         assertEquals(before, d.waiting() + d.back.size());
     }
 
