--- a/lab/src/main/java/reedquay/fair/DoorCost.java
+++ b/lab/src/main/java/reedquay/fair/DoorCost.java
@@ -18,21 +18,22 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import reedquay.core.CallOut;
-import reedquay.core.Decider;
-import reedquay.core.Effects;
-import reedquay.core.Listed;
+import reedquay.core.RoutingEngine;
+import reedquay.core.RoutingActions;
+import reedquay.core.ListedMember;
 import reedquay.core.Member;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.Report;
+import reedquay.core.LoadReport;
 import reedquay.core.Role;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
 import reedquay.core.Stage;
 
 /**
- * What the door costs: an RPC in and out without pressure, against no door; one in and one out of so many flows that
- * wait, against maps and queues of the library's.
+ * JMH benchmarks of admission control: the time of an RPC from arrival to answer without overload, with and without an
+ * AdmissionController; and the time to serve and add one entry among a number of waiting flows, with FairScheduler and
+ * with the JDK's maps and queues.
  */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -41,162 +42,167 @@
 @Fork(1)
 public class DoorCost {
     private static final long MS = 1_000_000;
-    private static final Method READ = new Method("read", Method.Need.ANY, 0, 400 * MS, 1500 * MS, 1, 0,
-            Method.Effect.IDEMPOTENT, Method.Scope.ALL, 0);
+    private static final Method READ = new Method("read", Method.Consistency.ANY, 0, 400 * MS, 1500 * MS, 1, 0,
+            Method.RetrySafety.IDEMPOTENT, Method.DeduplicationScope.ALL, 0);
 
-    /** Decisions that do next to nothing: an RPC is called out at once. */
-    private static final class Straight implements Decider {
-        private final Effects effects;
+    /** Sends a call-out for each RPC at once and does nothing else. */
+    private static final class ImmediateEngine implements RoutingEngine {
+        private final RoutingActions actions;
         private final Member member = new Member("m");
         private long now;
 
-        Straight(Effects effects) { this.effects = effects; }
+        ImmediateEngine(RoutingActions actions) { this.actions = actions; }
 
-        @Override public void begin(long time) { now = time; }
+        @Override public void beginBatch(long time) { now = time; }
 
-        @Override public void list(Listed.ListKind kind, List<Listed> entries) { }
+        @Override public void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) { }
 
-        @Override public void arrived(Rpc rpc) {
-            CallOut call = new CallOut(rpc, member, now);
-            rpc.callOuts.add(call);
-            effects.callOut(call, 0);
+        @Override public void rpcArrived(Rpc rpc) {
+            CallOut callOut = new CallOut(rpc, member, now);
+            rpc.callOuts.add(callOut);
+            actions.sendCallOut(callOut, 0);
         }
 
-        @Override public void done(CallOut c, Outcome o, long took, boolean ended, long p, Role role, Report r) { }
+        @Override public void callOutEnded(CallOut callOut, Outcome outcome, long took, boolean ended, long position,
+                Role role, LoadReport report) { }
 
-        @Override public void ready(CallOut callOut) { }
+        @Override public void connectionReady(CallOut callOut) { }
 
-        @Override public void probed(Member m, Outcome outcome, long took, Report report) { }
+        @Override public void probeEnded(Member m, Outcome outcome, long took, LoadReport report) { }
 
         @Override public void clientGone(Rpc rpc) { }
 
-        @Override public void end() { }
+        @Override public void endBatch() { }
     }
 
-    /** A front that does nothing. */
-    private static final class Front extends Stage {
-        Front() { super(null); }
+    /** A front that ignores all actions. */
+    private static final class NoOpFront extends Stage {
+        NoOpFront() { super(null); }
 
-        @Override public void callOut(CallOut callOut, long limit) { }
+        @Override public void sendCallOut(CallOut callOut, long limit) { }
 
         @Override public void pushBack(Rpc rpc, long after) { }
 
-        @Override public void wakeIn(long delay) { }
+        @Override public void scheduleWakeUp(long delay) { }
 
-        @Override public void subscribe() { }
+        @Override public void requestMemberList() { }
 
         @Override public void log(String line) { }
     }
 
-    /** One RPC in and its answer, without pressure. */
+    /** One RPC and its answer without overload; door: NONE without admission control, DOOR with it. */
     @State(Scope.Thread)
     public static class Calm {
         @Param({"NONE", "DOOR"})
         public String door;
-        private Decider decider;
+        private RoutingEngine engine;
         private long now = 1_000_000 * MS;
-        private long id;
-        private final String[] callers = new String[1024];
+        private long lastId;
+        private final String[] clients = new String[1024];
 
         @Setup public void setUp() {
             Settings settings = new Settings(1, "a", 0, 1, 5 * MS, List.of(READ),
                     List.of(new Settings.Tenant("acme", 100)),
-                    new Settings.Allowed(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
+                    new Settings.Capabilities(true, false, true, true, true, 1000 * MS, 6, 250 * MS, false),
                     new Settings.Rules(0.25, 10_000 * MS, 3, 1000 * MS, 500 * MS, 20 * MS, 10_000 * MS, false),
-                    new Settings.Positions(true, false, true, false, false), new Settings.Prices(0, 0, 0, 0, 0));
-            Front front = new Front();
+                    new Settings.PositionSources(true, false, true, false, false), new Settings.Costs(0, 0, 0, 0, 0));
+            NoOpFront front = new NoOpFront();
             if (door.equals("NONE")) {
-                decider = new Straight(front);
+                engine = new ImmediateEngine(front);
             } else {
-                Turns turns = new Turns(settings, new Terms(1000, Map.of()), front);
-                decider = turns.before(new Straight(turns));
+                AdmissionController controller = new AdmissionController(settings,
+                        new AdmissionSettings(1000, Map.of()), front);
+                engine = controller.setNext(new ImmediateEngine(controller));
             }
-            decider.begin(now);
-            decider.list(Listed.ListKind.FULL, List.of(new Listed(new Member("m"), "a", "s", 1, Listed.Phase.UP, true,
-                    1, 0)));
-            decider.end();
-            for (int i = 0; i < callers.length; i++) {
-                callers[i] = "customer-" + i;
+            engine.beginBatch(now);
+            engine.membersListed(ListedMember.ListKind.FULL, List.of(new ListedMember(new Member("m"), "a", "s", 1,
+                    ListedMember.Phase.UP, true, 1, 0)));
+            engine.endBatch();
+            for (int i = 0; i < clients.length; i++) {
+                clients[i] = "customer-" + i;
             }
         }
 
-        Rpc serve() {
+        Rpc serveOne() {
             now += 100_000;
-            Rpc rpc = new Rpc(++id, 1, null, now + 1500 * MS, false, 0, "acme", READ);
-            rpc.caller = callers[(int) id & 1023];
-            decider.begin(now);
-            decider.arrived(rpc);
-            decider.end();
+            Rpc rpc = new Rpc(++lastId, 1, null, now + 1500 * MS, false, 0, "acme", READ);
+            rpc.clientId = clients[(int) lastId & 1023];
+            engine.beginBatch(now);
+            engine.rpcArrived(rpc);
+            engine.endBatch();
             rpc.ended = true;
-            decider.begin(now + 5 * MS);
-            decider.done(rpc.callOuts.get(0), Outcome.OK, 5 * MS, true, Report.NO_POSITION, Role.UNKNOWN, Report.NONE);
-            decider.end();
+            engine.beginBatch(now + 5 * MS);
+            engine.callOutEnded(rpc.callOuts.get(0), Outcome.OK, 5 * MS, true, LoadReport.NO_POSITION, Role.UNKNOWN,
+                    LoadReport.NONE);
+            engine.endBatch();
             return rpc;
         }
     }
 
-    @Benchmark public Rpc calm(Calm calm) { return calm.serve(); }
+    @Benchmark public Rpc calm(Calm calm) { return calm.serveOne(); }
 
-    /** So many flows wait; one is served and one more comes. */
+    /** A number of waiting flows with one entry each; serves one entry and adds one. */
     @State(Scope.Thread)
     public static class Queued {
         @Param({"1000", "100000"})
         public int flows;
-        private Flows ours;
-        private Ways way;
-        private final Map<Long, ArrayDeque<Turn>> byClient = new HashMap<>();
-        private final TreeMap<Long, Long> order = new TreeMap<>(); // by when its turn is
-        private final Map<Long, Long> turnOf = new HashMap<>();
-        private long next;
-        private long turns;
+        private FairScheduler scheduler;
+        private TrafficClass trafficClass;
+        private final Map<Long, ArrayDeque<AdmissionEntry>> entriesByClient = new HashMap<>();
+        private final TreeMap<Long, Long> clientByPosition = new TreeMap<>(); // by order of service
+        private final Map<Long, Long> positionByClient = new HashMap<>();
+        private long clientCounter;
+        private long lastPosition;
 
         @Setup public void setUp() {
-            ours = new Flows(flows + 1, new double[] {1, 2});
-            ours.quantum(1000);
-            way = new Ways(ours.lane(), new Promises(1, 0, 0, 1).new Calendar(0), 1, 1);
+            scheduler = new FairScheduler(flows + 1, new double[] {1, 2});
+            scheduler.setQuantum(1000);
+            trafficClass = new TrafficClass(scheduler.newQueue(), new RetryReservations(1, 0, 0, 1).new Schedule(0), 1,
+                    1);
             for (int i = 0; i < flows; i++) {
-                ours.add(way.lane, turn(), 0);
-                plainAdd(turn());
+                scheduler.add(trafficClass.queue, newEntry(), 0);
+                addToMaps(newEntry());
             }
         }
 
-        private Turn turn() {
-            Turn turn = new Turn(new Rpc(0, 0, null, 0, false, 0, null, READ), way, (int) (next & 1), 0);
-            turn.key = ++next * 0x9E3779B97F4A7C15L;
-            turn.cost = 900;
-            return turn;
+        private AdmissionEntry newEntry() {
+            AdmissionEntry entry = new AdmissionEntry(new Rpc(0, 0, null, 0, false, 0, null, READ), trafficClass,
+                    (int) (clientCounter & 1), 0);
+            entry.clientKey = ++clientCounter * 0x9E3779B97F4A7C15L;
+            entry.cost = 900;
+            return entry;
         }
 
-        private void plainAdd(Turn turn) {
-            byClient.computeIfAbsent(turn.key, k -> {
-                order.put(++turns, k);
-                turnOf.put(k, turns);
+        private void addToMaps(AdmissionEntry entry) {
+            entriesByClient.computeIfAbsent(entry.clientKey, k -> {
+                clientByPosition.put(++lastPosition, k);
+                positionByClient.put(k, lastPosition);
                 return new ArrayDeque<>();
-            }).addLast(turn);
+            }).addLast(entry);
         }
 
-        Turn ours() {
-            Turn out = ours.next(way.lane);
-            ours.add(way.lane, turn(), 0);
-            return out;
+        AdmissionEntry serveAndRefill() {
+            AdmissionEntry served = scheduler.poll(trafficClass.queue);
+            scheduler.add(trafficClass.queue, newEntry(), 0);
+            return served;
         }
 
-        Turn plain() {
-            Map.Entry<Long, Long> first = order.pollFirstEntry();
-            ArrayDeque<Turn> queue = byClient.get(first.getValue());
-            Turn out = queue.pollFirst();
+        AdmissionEntry serveAndRefillMaps() {
+            Map.Entry<Long, Long> first = clientByPosition.pollFirstEntry();
+            ArrayDeque<AdmissionEntry> queue = entriesByClient.get(first.getValue());
+            AdmissionEntry served = queue.pollFirst();
             if (queue.isEmpty()) {
-                byClient.remove(first.getValue());
-                turnOf.remove(first.getValue());
+                entriesByClient.remove(first.getValue());
+                positionByClient.remove(first.getValue());
             } else {
-                order.put(++turns, first.getValue());
+                clientByPosition.put(++lastPosition, first.getValue());
             }
-            plainAdd(turn());
-            return out;
+            addToMaps(newEntry());
+            return served;
         }
     }
 
-    @Benchmark public Turn queued(Queued queued) { return queued.ours(); }
+    @Benchmark public AdmissionEntry queued(Queued queued) { return queued.serveAndRefill(); }
 
-    @Benchmark public Turn queuedInMaps(Queued queued) { return queued.plain(); }
+    @Benchmark public AdmissionEntry queuedInMaps(Queued queued) { return queued.serveAndRefillMaps(); }
 }
--- a/src/main/java/reedquay/net/ClientSession.java
+++ b/src/main/java/reedquay/net/ClientSession.java
@@ -19,36 +19,42 @@
 import reedquay.pg.FrameDecoder;
 import reedquay.pg.Messages;
 
-/** One client's connection: takes its messages in order, one RPC in hand at a time. */
+/** One client's connection: handles its messages in order and has at most one RPC in flight. Times in nanoseconds. */
 final class ClientSession extends ChannelInboundHandlerAdapter {
-    private enum State { FIRST, FREE, BLOCKED, IN_HAND, SKIPPING, CLOSING }
+    /**
+     * AWAITING_READINESS: an empty query waits until the gateway is ready; IN_FLIGHT: an RPC is; SKIPPING_TO_SYNC:
+     * after an extended-query message, all messages up to the client's Sync are skipped.
+     */
+    private enum State { STARTUP, IDLE, AWAITING_READINESS, IN_FLIGHT, SKIPPING_TO_SYNC, CLOSING }
 
-    private static final int TURN = 16; // messages taken from one client before the others have their turn
+    /** Messages handled for one client before the others have their turn. */
+    private static final int MESSAGES_PER_TURN = 16;
 
-    final FrameDecoder decoder = FrameDecoder.ofClient(Limits.LONGEST_MESSAGE);
+    final FrameDecoder decoder = FrameDecoder.forClient(Limits.MAX_MESSAGE_BYTES);
     private final Gateway gateway;
-    private final Door door;
-    private final ArrayDeque<Frame> ahead = new ArrayDeque<>();
-    private int aheadBytes;
-    private State state = State.FIRST;
+    private final Dispatcher dispatcher;
+    private final ArrayDeque<Frame> queued = new ArrayDeque<>();
+    private int queuedBytes;
+    private State state = State.STARTUP;
     private Channel channel;
     private Rpc rpc;
     private Statement statement;
     private boolean draining;
-    private boolean counted;
-    private boolean used; // something has come behind its startup
-    private long came;
-    private String refusal; // what is wrong with what it sent, told once all that came before is answered
-    private long since; // when it was last seen to owe nothing; before its first message, when it came
-    private int partial; // bytes of a message that is not whole
-    private int turn;
-    private boolean yielded;
-    private Map<String, String> parameters; // of its startup, where somebody asks for them
-    private String host;
-
-    ClientSession(Gateway gateway, Door door) {
+    private boolean registered;
+    private boolean commandReceived; // a message has come after the startup
+    private long connectedAt;
+    private String inputError; // why its input is malformed; sent once all earlier messages are answered
+    /** The last time without an incomplete message; until the startup has come, the time of connecting. */
+    private long lastProgressAt;
+    private int partialBytes; // bytes of a message that has not come completely
+    private int messagesThisTurn;
+    private boolean turnScheduled;
+    private Map<String, String> startupParameters; // null where no client identifier is configured
+    private String clientAddress;
+
+    ClientSession(Gateway gateway, Dispatcher dispatcher) {
         this.gateway = gateway;
-        this.door = door;
+        this.dispatcher = dispatcher;
     }
 
     @Override public void handlerAdded(ChannelHandlerContext ctx) {
@@ -56,303 +62,310 @@
     }
 
     @Override public void channelActive(ChannelHandlerContext ctx) {
-        counted = true;
-        came = door.clock.now();
-        since = came;
-        door.counters.add("client.accepted");
-        gateway.opened(this);
+        registered = true;
+        connectedAt = dispatcher.clock.now();
+        lastProgressAt = connectedAt;
+        dispatcher.counters.add("client.accepted");
+        gateway.sessionOpened(this);
     }
 
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         Frame frame = (Frame) message;
-        if (state != State.FIRST) {
-            since = gateway.sweptAt();
+        if (state != State.STARTUP) {
+            lastProgressAt = gateway.lastSweepAt();
         }
-        ahead.addLast(frame);
-        aheadBytes += Limits.cost(frame);
-        door.limits.hold(Limits.cost(frame));
-        takeNext();
+        queued.addLast(frame);
+        queuedBytes += Limits.memoryCost(frame);
+        dispatcher.limits.addHeldBytes(Limits.memoryCost(frame));
+        processQueue();
     }
 
     @Override public void channelReadComplete(ChannelHandlerContext ctx) {
         ctx.flush();
-        partial(decoder.waiting());
+        setPartialBytes(decoder.bufferedBytes());
     }
 
-    private void partial(int bytes) {
-        int more = bytes - partial;
-        partial = bytes;
-        if (counted) {
-            gateway.partial(more);
+    private void setPartialBytes(int bytes) {
+        int change = bytes - partialBytes;
+        partialBytes = bytes;
+        if (registered) {
+            gateway.addPartialBytes(change);
         }
     }
 
-    int partial() {
-        return partial;
+    int partialBytes() {
+        return partialBytes;
     }
 
     @Override public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        takeNext();
+        processQueue();
     }
 
-    /** Works through what has come, as far as the one RPC in hand and a client that reads allow. */
-    private void takeNext() {
-        while (!ahead.isEmpty() && state != State.IN_HAND && state != State.BLOCKED
+    /** Handles queued messages until an RPC is in flight, the client stops reading its answers, or its turn is over. */
+    private void processQueue() {
+        while (!queued.isEmpty() && state != State.IN_FLIGHT && state != State.AWAITING_READINESS
                 && (channel.isWritable() || state == State.CLOSING)) {
-            if (++turn > TURN) { // guards the others against hundreds of commands at once
-                if (!yielded) {
-                    yielded = true;
+            if (++messagesThisTurn > MESSAGES_PER_TURN) { // hundreds of commands at once must not delay other clients
+                if (!turnScheduled) {
+                    turnScheduled = true;
                     channel.eventLoop().execute(this::nextTurn);
                 }
-                gateway.free(this, false);
+                gateway.setIdle(this, false);
                 return;
             }
-            Frame frame = ahead.pollFirst();
-            aheadBytes -= Limits.cost(frame);
+            Frame frame = queued.pollFirst();
+            queuedBytes -= Limits.memoryCost(frame);
             try {
-                take(frame);
+                handle(frame);
             } finally {
                 release(frame);
             }
         }
-        boolean nothing = ahead.isEmpty() && state != State.IN_HAND && state != State.BLOCKED;
-        if (nothing && refusal != null && state != State.CLOSING) {
-            fatal("08P01", refusal);
+        boolean allAnswered = queued.isEmpty() && state != State.IN_FLIGHT && state != State.AWAITING_READINESS;
+        if (allAnswered && inputError != null && state != State.CLOSING) {
+            sendFatalError("08P01", inputError);
         }
         if (state == State.CLOSING) {
-            return; // what still comes is passed over
+            return; // whatever still comes is discarded
         }
-        // a client that sends ahead without end, or reads nothing, is not read from; nobody is while memory is short
-        channel.config().setAutoRead(aheadBytes <= door.limits.waitingBytes && !door.limits.full());
-        if (draining && state == State.FREE && ahead.isEmpty()) {
-            end();
+        // not read from: a client that pipelines too much or reads no answers, and all clients while memory is short
+        channel.config().setAutoRead(queuedBytes <= dispatcher.limits.maxQueuedBytes
+                && !dispatcher.limits.isMemoryFull());
+        if (draining && state == State.IDLE && queued.isEmpty()) {
+            closeAfterFlush();
         }
-        gateway.free(this, state == State.FREE && ahead.isEmpty());
+        gateway.setIdle(this, state == State.IDLE && queued.isEmpty());
     }
 
     private void nextTurn() {
-        yielded = false;
-        turn = 0;
+        turnScheduled = false;
+        messagesThisTurn = 0;
         resume();
     }
 
     /**
-     * Guards against clients that take a place and give nothing: one that says nothing, one whose message never ends,
-     * and one that was refused and still sends.
+     * Closes a connection that holds resources without use: a client that sends nothing, one whose message never ends,
+     * and one that still sends after a fatal error. lingerTimeout: how long the last of these may go on sending.
      */
-    void sweep(long now, long linger) {
+    void sweep(long now, long lingerTimeout) {
         if (state == State.CLOSING) {
-            if (now - since >= (refusal == null ? Limits.UNUSED : linger)) { // a last answer may still be on its way
+            // without an input error the longer time holds: a last answer may still be on its way
+            if (now - lastProgressAt >= (inputError == null ? Limits.UNUSED_TIMEOUT_NANOS : lingerTimeout)) {
                 channel.close();
             }
-        } else if (state != State.FIRST && !decoder.begun() || !channel.config().isAutoRead()) {
-            since = now;
-        } else if (now - since >= Limits.UNUSED) {
-            if (decoder.begun()) {
-                refuse("a message that does not end");
+        } else if (state != State.STARTUP && !decoder.hasPartialMessage() || !channel.config().isAutoRead()) {
+            lastProgressAt = now;
+        } else if (now - lastProgressAt >= Limits.UNUSED_TIMEOUT_NANOS) {
+            if (decoder.hasPartialMessage()) {
+                rejectInput("a message that does not end");
             } else {
-                door.counters.add("client.closed.silent");
+                dispatcher.counters.add("client.closed.silent");
                 channel.close();
             }
         }
     }
 
-    long came() {
-        return came;
+    long connectedAt() {
+        return connectedAt;
     }
 
-    /** Whether it is not read from for want of memory. */
-    boolean stalled() {
-        return !channel.config().isAutoRead() && aheadBytes <= door.limits.waitingBytes && state != State.CLOSING;
+    /** Whether it is not read from because the gateway's memory for messages is full. */
+    boolean isPausedForMemory() {
+        return !channel.config().isAutoRead() && queuedBytes <= dispatcher.limits.maxQueuedBytes
+                && state != State.CLOSING;
     }
 
-    /** What it sends can't be read from here on. Guards what came before: an RPC taken stays owed its answer. */
-    void refuse(String kind) {
-        if (refusal == null && state != State.CLOSING) {
-            refusal = kind;
-            decoder.discard();
-            partial(0);
-            takeNext();
+    /**
+     * Reads nothing more from this client, whose input is malformed. The error is sent once everything that came before
+     * is answered, since an RPC in flight still gets its answer.
+     */
+    void rejectInput(String error) {
+        if (inputError == null && state != State.CLOSING) {
+            inputError = error;
+            decoder.discardInput();
+            setPartialBytes(0);
+            processQueue();
             channel.flush();
         }
     }
 
-    private void take(Frame frame) {
+    private void handle(Frame frame) {
         if (state == State.CLOSING) {
             return;
         }
-        if (frame.type == Frame.FIRST) {
-            first(frame);
+        if (frame.type == Frame.UNTYPED) {
+            handleStartup(frame);
             return;
         }
-        if (!used) {
-            used = true;
-            gateway.used(this);
+        if (!commandReceived) {
+            commandReceived = true;
+            gateway.commandReceived(this);
         }
         switch (frame.type) {
             case 'Q' -> {
-                if (state == State.SKIPPING) {
+                if (state == State.SKIPPING_TO_SYNC) {
                     return;
                 }
-                query(frame);
+                handleQuery(frame);
             }
-            case 'X' -> end();
+            case 'X' -> closeAfterFlush();
             case 'P', 'B', 'D', 'E', 'C', 'F' -> {
-                if (state != State.SKIPPING) {
-                    write(Messages.error(buffer(), "ERROR", "0A000", "only simple queries are served", null));
-                    state = State.SKIPPING;
+                if (state != State.SKIPPING_TO_SYNC) {
+                    write(Messages.errorResponse(buffer(), "ERROR", "0A000", "only simple queries are served", null));
+                    state = State.SKIPPING_TO_SYNC;
                 }
             }
             case 'S' -> {
-                state = State.FREE;
-                write(Messages.ready(buffer()));
+                state = State.IDLE;
+                write(Messages.readyForQuery(buffer()));
             }
             case 'H', 'd', 'c', 'f' -> { }
-            default -> fatal("08P01", "a message that has no meaning here");
+            default -> sendFatalError("08P01", "a message that has no meaning here");
         }
     }
 
-    private void first(Frame frame) {
-        switch (frame.code()) {
-            case Frame.SSL, Frame.GSS -> write(buffer().writeByte('N'));
-            case Frame.CANCEL -> end();
+    private void handleStartup(Frame frame) {
+        switch (frame.startupCode()) {
+            case Frame.SSL_REQUEST, Frame.GSS_ENCRYPTION_REQUEST -> write(buffer().writeByte('N'));
+            case Frame.CANCEL_REQUEST -> closeAfterFlush();
             default -> {
-                if (frame.code() >>> 16 != 3) {
-                    fatal("0A000", "only version 3 of the protocol is served");
+                if (frame.startupCode() >>> 16 != 3) {
+                    sendFatalError("0A000", "only version 3 of the protocol is served");
                     return;
                 }
-                state = State.FREE;
-                parameters = gateway.callers() == null ? null : frame.parameters();
-                gateway.spoke(this);
-                write(Messages.ready(Messages.welcome(buffer(), 1, 1)));
+                state = State.IDLE;
+                startupParameters = gateway.clientIdentifier() == null ? null : frame.startupParameters();
+                gateway.startupReceived(this);
+                write(Messages.readyForQuery(Messages.startupResponse(buffer(), 1, 1)));
             }
         }
     }
 
-    private void query(Frame frame) {
-        if (frame.startsWith("/*")) { // nearly all of them
-            rpc(frame);
+    private void handleQuery(Frame frame) {
+        if (frame.bodyStartsWith("/*")) { // the usual case
+            startRpc(frame);
             return;
         }
-        String head = frame.text(0);
-        String word = head.length() > 64 ? "" : head.strip().replaceAll("[;\\s]+$", "").toUpperCase(Locale.ROOT);
-        if (word.isEmpty() && head.length() <= 64) {
-            state = State.BLOCKED;
-            gateway.whenReady(this::answerEmpty);
-        } else if (word.equals("SHOW COUNTERS")) {
-            showCounters();
-        } else if (word.matches("SHOW [A-Z]+") && gateway.show(word.substring(5).toLowerCase(Locale.ROOT)) != null) {
-            List<String[]> table = gateway.show(word.substring(5).toLowerCase(Locale.ROOT));
-            show(table.subList(1, table.size()), table.get(0));
-        } else if (word.matches("(SET|RESET|DISCARD)( .*)?")) {
-            write(Messages.ready(Messages.complete(buffer(), word.replaceAll(" .*", ""))));
+        String text = frame.stringAt(0);
+        String command = text.length() > 64 ? "" : text.strip().replaceAll("[;\\s]+$", "").toUpperCase(Locale.ROOT);
+        if (command.isEmpty() && text.length() <= 64) {
+            state = State.AWAITING_READINESS;
+            gateway.whenReady(this::answerEmptyQuery);
+        } else if (command.equals("SHOW COUNTERS")) {
+            sendCounters();
+        } else if (command.matches("SHOW [A-Z]+")
+                && gateway.showTable(command.substring(5).toLowerCase(Locale.ROOT)) != null) {
+            List<String[]> table = gateway.showTable(command.substring(5).toLowerCase(Locale.ROOT));
+            sendTable(table.subList(1, table.size()), table.get(0));
+        } else if (command.matches("(SET|RESET|DISCARD)( .*)?")) {
+            write(Messages.readyForQuery(Messages.commandComplete(buffer(), command.replaceAll(" .*", ""))));
         } else {
-            rpc(frame);
+            startRpc(frame);
         }
     }
 
-    private void answerEmpty() {
-        if (state == State.BLOCKED) {
-            state = State.FREE;
-            write(Messages.ready(Messages.emptyQuery(buffer())));
-            takeNext();
+    private void answerEmptyQuery() {
+        if (state == State.AWAITING_READINESS) {
+            state = State.IDLE;
+            write(Messages.readyForQuery(Messages.emptyQueryResponse(buffer())));
+            processQueue();
             channel.flush();
         }
     }
 
-    private void showCounters() {
+    private void sendCounters() {
         List<String[]> rows = new ArrayList<>();
-        door.counts().forEach((name, value) -> rows.add(new String[] {name, value.toString()}));
-        show(rows, "name", "value");
+        dispatcher.allCounters().forEach((name, value) -> rows.add(new String[] {name, value.toString()}));
+        sendTable(rows, "name", "value");
     }
 
-    private void show(List<String[]> rows, String... names) {
-        ByteBuf out = Messages.columns(buffer(), names);
-        rows.forEach(row -> Messages.row(out, row));
-        write(Messages.ready(Messages.complete(out, "SELECT " + rows.size())));
+    private void sendTable(List<String[]> rows, String... names) {
+        ByteBuf out = Messages.rowDescription(buffer(), names);
+        rows.forEach(row -> Messages.dataRow(out, row));
+        write(Messages.readyForQuery(Messages.commandComplete(out, "SELECT " + rows.size())));
     }
 
-    private void rpc(Frame frame) {
-        Statement next;
+    private void startRpc(Frame frame) {
+        Statement parsed;
         try {
-            next = new Statement(frame);
-            Method method = door.method(next.method);
+            parsed = new Statement(frame);
+            Method method = dispatcher.method(parsed.method);
             if (method == null) {
-                throw new Statement.Unfit("no class has that name");
+                throw new Statement.InvalidStatementException("no class has that name");
             }
-            next.check(method);
-            if (door.isOpen(next.id)) {
-                throw new Statement.Unfit("the id is that of an RPC that is open");
+            parsed.validateFor(method);
+            if (dispatcher.isInFlight(parsed.id)) {
+                throw new Statement.InvalidStatementException("the id is that of an RPC that is open");
             }
-        } catch (Statement.Unfit e) {
-            door.counters.add("client.unfit");
-            door.logOnce("a client sent what cannot be routed: " + e.getMessage());
-            write(Messages.ready(Messages.error(buffer(), "ERROR", "42601", e.getMessage(), null)));
+        } catch (Statement.InvalidStatementException e) {
+            dispatcher.counters.add("client.unfit");
+            dispatcher.logOnce("rejected a client's statement that cannot be routed: " + e.getMessage());
+            write(Messages.readyForQuery(Messages.errorResponse(buffer(), "ERROR", "42601", e.getMessage(), null)));
             return;
         }
-        frame.retain(); // until its final answer
-        door.limits.hold(Limits.cost(frame));
-        statement = next;
-        state = State.IN_HAND;
-        rpc = door.arrived(this, statement, gateway.callers());
-        Rpc taken = rpc;
-        door.input(d -> d.arrived(taken));
+        frame.retain(); // released with the final answer
+        dispatcher.limits.addHeldBytes(Limits.memoryCost(frame));
+        statement = parsed;
+        state = State.IN_FLIGHT;
+        rpc = dispatcher.acceptRpc(this, statement, gateway.clientIdentifier());
+        Rpc started = rpc;
+        dispatcher.submitInput(d -> d.rpcArrived(started));
     }
 
-    /** A name for this connection that no other has while it lives. */
-    String number() {
+    /** An id that no other connection has while this one is open. */
+    String connectionId() {
         return channel.id().asShortText();
     }
 
-    /** Where it comes from, without the port. */
-    String host() {
-        if (host == null && channel.remoteAddress() instanceof InetSocketAddress from) {
-            host = from.getAddress().getHostAddress();
+    /** The client's IP address, without the port. */
+    String clientAddress() {
+        if (clientAddress == null && channel.remoteAddress() instanceof InetSocketAddress remote) {
+            clientAddress = remote.getAddress().getHostAddress();
         }
-        return host;
+        return clientAddress;
     }
 
-    String parameter(String name) {
-        return parameters == null ? null : parameters.get(name);
+    String startupParameter(String name) {
+        return startupParameters == null ? null : startupParameters.get(name);
     }
 
     Statement statement() {
         return statement;
     }
 
-    /** The final answer as the member's bytes. */
-    void serve(List<Frame> frames) {
+    /** Sends the final answer: the member's messages as they came. */
+    void sendResult(List<Frame> frames) {
         frames.forEach(f -> channel.write(f.content().retain()));
-        answered(Messages.ready(buffer()));
+        finishRpc(Messages.readyForQuery(buffer()));
     }
 
-    /** The final answer as an error; millis: when to come back, null for no advice. */
-    void refuse(String code, String message, String millis) {
-        answered(Messages.ready(Messages.error(buffer(), "ERROR", code, message, millis)));
+    /** Sends the final answer as an error; retryAfterMillis: the retry-after, null for none. */
+    void sendError(String code, String message, String retryAfterMillis) {
+        finishRpc(Messages.readyForQuery(Messages.errorResponse(buffer(), "ERROR", code, message, retryAfterMillis)));
     }
 
-    private void answered(ByteBuf last) {
-        channel.writeAndFlush(last);
-        settle();
-        state = State.FREE;
-        // guards against an RPC that is taken from within the batch of decisions that answered the last one
-        door.afterwards(this::resume);
+    private void finishRpc(ByteBuf response) {
+        channel.writeAndFlush(response);
+        clearRpc();
+        state = State.IDLE;
+        // prevents an RPC from starting within the batch of decisions that answered the previous one
+        dispatcher.runAfterBatch(this::resume);
     }
 
-    /** Goes on with what came ahead, or reads again. */
+    /** Handles queued messages again, or resumes reading. */
     void resume() {
         if (channel.isActive()) {
-            takeNext();
+            processQueue();
             channel.flush();
         }
     }
 
     private void release(Frame frame) {
-        door.limits.hold(-Limits.cost(frame));
+        dispatcher.limits.addHeldBytes(-Limits.memoryCost(frame));
         frame.release();
     }
 
-    private void settle() {
+    private void clearRpc() {
         rpc = null;
         if (statement != null) {
             release(statement.frame);
@@ -360,33 +373,34 @@
         }
     }
 
-    /** From now on the session closes as soon as it has nothing in hand. */
+    /** From now on the session closes as soon as it has no RPC in flight and no queued message. */
     void drain() {
         draining = true;
-        if (state == State.FREE && ahead.isEmpty() || state == State.FIRST || state == State.BLOCKED) {
-            end();
+        if (state == State.IDLE && queued.isEmpty() || state == State.STARTUP || state == State.AWAITING_READINESS) {
+            closeAfterFlush();
         }
     }
 
-    void end() {
+    void closeAfterFlush() {
         state = State.CLOSING;
-        since = door.clock.now();
+        lastProgressAt = dispatcher.clock.now();
         channel.writeAndFlush(channel.alloc().buffer(0)).addListener(ChannelFutureListener.CLOSE);
     }
 
     /**
-     * The error goes out and the sending ends; what still comes is passed over within a bound of bytes and, by the
-     * sweep, of time. Guards the error: closed at once, a connection with unread bytes is reset, which can overtake it.
+     * Sends a FATAL error and ends the outgoing side; input is discarded up to a limit of bytes and, by the sweep, of
+     * time. Prevents loss of the error, which happens when a connection is closed at once: with unread bytes it is
+     * reset, and the reset can overtake the error.
      */
-    private void fatal(String code, String message) {
-        door.counters.add("client.malformed");
-        door.logOnce("a client sent what the protocol does not allow: " + message);
+    private void sendFatalError(String code, String message) {
+        dispatcher.counters.add("client.malformed");
+        dispatcher.logOnce("a client violated the protocol: " + message);
         state = State.CLOSING;
-        since = door.clock.now();
-        decoder.discard();
-        partial(0);
+        lastProgressAt = dispatcher.clock.now();
+        decoder.discardInput();
+        setPartialBytes(0);
         channel.config().setAutoRead(true);
-        channel.writeAndFlush(Messages.error(buffer(), "FATAL", code, message, null)).addListener(f -> {
+        channel.writeAndFlush(Messages.errorResponse(buffer(), "FATAL", code, message, null)).addListener(f -> {
             if (channel instanceof SocketChannel socket) {
                 socket.shutdownOutput();
             } else {
@@ -397,17 +411,17 @@
 
     @Override public void channelInactive(ChannelHandlerContext ctx) {
         state = State.CLOSING;
-        partial(0);
-        ahead.forEach(this::release);
-        ahead.clear();
+        setPartialBytes(0);
+        queued.forEach(this::release);
+        queued.clear();
         if (rpc != null) {
-            Rpc left = rpc;
-            settle();
-            door.clientGone(left);
+            Rpc abandoned = rpc;
+            clearRpc();
+            dispatcher.clientDisconnected(abandoned);
         }
-        if (counted) {
-            counted = false;
-            gateway.closed(this);
+        if (registered) {
+            registered = false;
+            gateway.sessionClosed(this);
         }
     }
 
@@ -415,10 +429,10 @@
         if (cause instanceof java.io.IOException) {
             ctx.close();
         } else if (cause instanceof DecoderException) {
-            refuse("what is no message, or one of an impossible length");
-        } else { // guards the others: whatever else went wrong here ends here
-            door.counters.add("client.failed");
-            door.logOnce("a session failed: " + cause.getClass().getSimpleName());
+            rejectInput("what is no message, or one of an impossible length");
+        } else { // any other failure ends this session alone
+            dispatcher.counters.add("client.failed");
+            dispatcher.logOnce("a client session failed: " + cause.getClass().getSimpleName());
             ctx.close();
         }
     }
--- /dev/null
+++ b/src/main/java/reedquay/net/Dispatcher.java
@@ -0,0 +1,445 @@
+package reedquay.net;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufAllocator;
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.ScheduledFuture;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiFunction;
+import java.util.function.Consumer;
+import reedquay.core.CallOut;
+import reedquay.core.RoutingEngine;
+import reedquay.core.RoutingActions;
+import reedquay.core.ListedMember;
+import reedquay.core.Member;
+import reedquay.core.Method;
+import reedquay.core.Outcome;
+import reedquay.core.LoadReport;
+import reedquay.core.LoadReportParser;
+import reedquay.core.Role;
+import reedquay.core.Rpc;
+import reedquay.core.Settings;
+import reedquay.core.SettingsReader;
+import reedquay.core.Stage;
+import reedquay.pg.Messages;
+
+/**
+ * Connects the sockets with the routing engine: passes socket events to the engine as inputs, and carries out the
+ * actions that the engine asks for. It takes no routing decision of its own. Used on the event loop alone; times are
+ * in nanoseconds unless a name says otherwise.
+ */
+final class Dispatcher implements RoutingActions {
+    private static final System.Logger LOG = System.getLogger("reedquay");
+    private static final int MAX_DISTINCT_WARNINGS = 64;
+
+    final MonotonicClock clock;
+    final Limits limits;
+    final Counters counters;
+    final LoadReportParser reports;
+    private final Trace trace = new Trace();
+    private final EventLoop loop;
+    private final Bootstrap bootstrap;
+    private final Settings settings;
+    private final RoutingEngine engine;
+    private final Map<String, Method> methods = new HashMap<>();
+    private final Map<String, Pool> pools = new LinkedHashMap<>();
+    private final Set<String> loggedWarnings = new HashSet<>();
+    private final Map<Long, Rpc> inFlightById = new LinkedHashMap<>(); // RPCs without a final answer, by id
+    private final ArrayDeque<Consumer<RoutingEngine>> pendingInputs = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> afterBatchTasks = new ArrayDeque<>();
+    private final ArrayDeque<MemberConnection> settling = new ArrayDeque<>(); // oldest response first
+    private boolean inBatch;
+    private boolean runningAfterBatchTasks;
+    private ScheduledFuture<?> wakeUpTimer;
+    private long answerDeadline = Long.MAX_VALUE;
+    private int inFlight;
+    private int outstandingProbes;
+
+    Dispatcher(EventLoop loop, Bootstrap bootstrap, MonotonicClock clock, Limits limits, Counters counters,
+            SettingsReader reader, long seed, BiFunction<Settings, RoutingActions, RoutingEngine> engineFactory) {
+        this.loop = loop;
+        this.bootstrap = bootstrap;
+        this.clock = clock;
+        this.limits = limits;
+        this.counters = counters;
+        settings = reader.readSettings(seed);
+        reports = reader.loadReportParser(0); // positions are Unix time, whatever epoch the settings name
+        settings.methods().forEach(m -> methods.put(m.name(), m));
+        engine = engineFactory.apply(settings, this);
+        counters.gauge("rpc.inhand", () -> inFlight);
+        counters.gauge("member.known", pools::size);
+    }
+
+    // ---- Inputs ----
+
+    /** The current value of every counter, including those of the engine's stages. */
+    Map<String, Long> allCounters() {
+        Map<String, Long> counts = counters.snapshot();
+        if (engine instanceof Stage stage) {
+            stage.addCounters(counts);
+        }
+        return counts;
+    }
+
+    /** The statistics table of that name that a stage before the engine provides; null where there is none. */
+    List<String[]> showTable(String name) {
+        return engine instanceof Stage stage ? stage.statisticsTable(name) : null;
+    }
+
+    /**
+     * Runs an input as a batch of its own. An input that an action submits while a batch is running becomes the next
+     * batch. The tasks given to runAfterBatch run behind the last batch.
+     */
+    void submitInput(Consumer<RoutingEngine> input) {
+        pendingInputs.addLast(input);
+        if (inBatch) {
+            return;
+        }
+        inBatch = true;
+        try {
+            while (!pendingInputs.isEmpty()) {
+                runBatch(pendingInputs.pollFirst());
+            }
+        } finally {
+            inBatch = false;
+        }
+        if (runningAfterBatchTasks) {
+            return; // prevents a stack overflow: each pipelined RPC of a client would nest one call deeper
+        }
+        runningAfterBatchTasks = true;
+        try {
+            while (!afterBatchTasks.isEmpty()) {
+                try {
+                    afterBatchTasks.pollFirst().run();
+                } catch (RuntimeException e) { // a failure of one session must not affect the others
+                    counters.add("broken.session");
+                    logOnce("a client session failed to continue: " + e);
+                }
+            }
+        } finally {
+            runningAfterBatchTasks = false;
+        }
+    }
+
+    private void runBatch(Consumer<RoutingEngine> input) {
+        try {
+            engine.beginBatch(clock.now());
+            input.accept(engine);
+            engine.endBatch();
+        } catch (RuntimeException e) { // a failure on one RPC must not affect the others
+            counters.add("broken.decision");
+            logOnce("a routing decision failed: " + e + " at "
+                    + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : ""));
+        }
+    }
+
+    /** Runs the task behind the current or next batch, so that the engine is notified of an answer first. */
+    void runAfterBatch(Runnable task) {
+        afterBatchTasks.addLast(task);
+    }
+
+    /** Whether an RPC of that id is still without its final answer. */
+    boolean isInFlight(long id) {
+        return inFlightById.containsKey(id);
+    }
+
+    Method method(String name) {
+        return methods.get(name);
+    }
+
+    /**
+     * Brings the deadline of each RPC, in flight or to come, forward to the given time at the latest: at a shutdown
+     * every RPC has its answer before the process is killed.
+     */
+    void answerAllBy(long deadline) {
+        answerDeadline = deadline;
+        for (Rpc rpc : List.copyOf(inFlightById.values())) {
+            if (rpc.deadline > deadline) { // its client would wait for longer than this process runs
+                rpc.deadline = deadline;
+                submitInput(d -> d.deadlineShortened(rpc));
+            }
+        }
+    }
+
+    /** Registers an RPC that was read completely; the caller submits it to the engine. */
+    Rpc acceptRpc(ClientSession session, Statement statement, ClientIdentifier identifier) {
+        long now = clock.now();
+        long minPosition = statement.minPositionMillis == 0 ? 0 : reports.position(statement.minPositionMillis, false);
+        long tokenAge = statement.minPositionMillis == 0 ? 0 : Math.max(1, now - minPosition); // 0 means no token
+        Method method = methods.get(statement.method); // its deadline bounds the wait that the client states
+        Rpc rpc = new Rpc(statement.id, statement.group, statement.session,
+                Math.min(now + Math.min(statement.waitMillis * 1_000_000, method.deadline()), answerDeadline),
+                statement.retry, tokenAge, statement.tenant, method);
+        rpc.frontState = session;
+        rpc.clientId = identifier == null ? null : identifier.identify(session, statement);
+        inFlight++;
+        inFlightById.put(rpc.id, rpc);
+        counters.add("rpc.taken");
+        trace.rpcAccepted(rpc, now);
+        return rpc;
+    }
+
+    void clientDisconnected(Rpc rpc) {
+        if (!rpc.ended) {
+            rpc.ended = true;
+            inFlight--;
+            inFlightById.remove(rpc.id);
+            counters.add("rpc.clientgone");
+            trace.rpcEnded(rpc, "left by its client", "");
+            submitInput(d -> d.clientGone(rpc));
+        }
+    }
+
+    void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) {
+        trace.membersListed(entries);
+        submitInput(d -> d.membersListed(kind, entries));
+    }
+
+    Pool pool(String id) {
+        return pools.computeIfAbsent(id, i -> {
+            Pool pool = new Pool(this, new Member(i), bootstrap);
+            pool.member.frontState = pool;
+            return pool;
+        });
+    }
+
+    /** Ends a request whose response has come completely. */
+    void responseReceived(MemberRequest request, MemberConnection.Response response) {
+        Outcome outcome = response.sqlState == null ? Outcome.OK : switch (response.sqlState) {
+            case "25006", "72000" -> Outcome.MISS;
+            case "53300" -> Outcome.FULL;
+            default -> Outcome.ERROR;
+        };
+        LoadReport report = MemberConnection.parseLoadReport(this, response, request.callOut == null);
+        boolean commit = outcome == Outcome.OK && request.callOut != null
+                && request.callOut.rpc.method.consistency() == Method.Consistency.WRITE;
+        long position = response.hasPosition ? reports.position(response.positionMillis, commit)
+                : LoadReport.NO_POSITION;
+        if (request.callOut == null && report == LoadReport.NONE) {
+            report = new LoadReport(position, response.role, -1, -1, -1);
+        }
+        completeRequest(request, outcome, response, position, response.role, report);
+        response.release();
+    }
+
+    /** Ends a request that got no response. */
+    void requestFailed(MemberRequest request, Outcome outcome) {
+        completeRequest(request, outcome, null, LoadReport.NO_POSITION, Role.UNKNOWN, LoadReport.NONE);
+    }
+
+    private void completeRequest(MemberRequest request, Outcome outcome, MemberConnection.Response response,
+            long position, Role role, LoadReport report) {
+        counters.check(!request.completed, "one outcome for each send");
+        if (request.completed) {
+            return;
+        }
+        request.completed = true;
+        CallOut callOut = request.callOut;
+        if (callOut == null) {
+            counters.add("probe." + outcome);
+            outstandingProbes--;
+            long took = clock.now() - request.startedAt;
+            submitInput(d -> d.probeEnded(request.pool.member, outcome, took, report));
+            return;
+        }
+        counters.add("callout." + outcome);
+        trace.callOutEnded(callOut, outcome, clock.now() - callOut.sentAt);
+        callOut.ended = true;
+        callOut.awaitingConnection = false;
+        Rpc rpc = callOut.rpc;
+        if (outcome == Outcome.OK && !rpc.ended) {
+            recordFinalAnswer(rpc, "rpc.ok", false);
+            ((ClientSession) rpc.frontState).sendResult(response.frames);
+        }
+        long took = clock.now() - callOut.sentAt;
+        boolean ended = rpc.ended;
+        submitInput(d -> d.callOutEnded(callOut, outcome, took, ended, position, role, report));
+    }
+
+    private void recordFinalAnswer(Rpc rpc, String counter, boolean byEngine) {
+        counters.check(!rpc.ended, "one final answer for each RPC");
+        rpc.ended = true;
+        inFlight--;
+        inFlightById.remove(rpc.id);
+        counters.add(counter);
+        trace.rpcEnded(rpc, counter, byEngine && trace.enabled ? engine.explain(rpc) : "");
+    }
+
+    // ---- Actions of the routing engine ----
+
+    @Override public void sendCallOut(CallOut callOut, long limit) {
+        Pool pool = (Pool) callOut.member.frontState;
+        long deadline = limit > 0 ? Math.min(callOut.rpc.deadline, callOut.sentAt + limit) : callOut.rpc.deadline;
+        MemberRequest request = new MemberRequest(callOut, pool, callOut.sentAt, deadline);
+        callOut.frontState = request;
+        counters.add("callout");
+        callOut.awaitingConnection = true;
+        pool.submit(request);
+    }
+
+    @Override public void proceed(CallOut callOut) {
+        MemberRequest request = (MemberRequest) callOut.frontState;
+        if (!request.completed) {
+            request.connection.send(request);
+        }
+    }
+
+    @Override public void cancel(CallOut callOut) {
+        MemberRequest request = (MemberRequest) callOut.frontState;
+        if (request.completed) {
+            return;
+        }
+        MemberConnection connection = request.connection;
+        if (connection != null && connection.state == MemberConnection.State.BUSY) {
+            counters.add("member.closed.cancel");
+            connection.abandon();
+            requestFailed(request, Outcome.CANCELLED);
+        } else {
+            request.pool.withdraw(request);
+            requestFailed(request, Outcome.NEVER_SENT);
+        }
+    }
+
+    @Override public void pushBack(Rpc rpc, long retryAfter) {
+        recordFinalAnswer(rpc, "rpc.pushedback", true);
+        // rounded up: a client that retried any earlier would find nothing changed
+        String retryAfterMillis = retryAfter > 0 ? Long.toString((retryAfter + 999_999) / 1_000_000) : null;
+        ((ClientSession) rpc.frontState).sendError("53300", "no room for this statement now; trying again is harmless",
+                retryAfterMillis);
+    }
+
+    @Override public void abort(Rpc rpc) {
+        recordFinalAnswer(rpc, "rpc.aborted", true);
+        ((ClientSession) rpc.frontState).sendError("58000", "the statement failed and may have run", null);
+    }
+
+    @Override public void probe(Member member) {
+        outstandingProbes++;
+        counters.add("probe");
+        long now = clock.now();
+        ((Pool) member.frontState).submit(new MemberRequest(null, (Pool) member.frontState, now,
+                now + settings.capabilities().connectTimeout()));
+    }
+
+    @Override public void closeIdleConnections(Member member) {
+        ((Pool) member.frontState).closeAllIdle("aside");
+    }
+
+    @Override public void forgetMember(Member member) {
+        pools.remove(member.id);
+        ((Pool) member.frontState).closeAll();
+    }
+
+    @Override public void scheduleWakeUp(long delay) {
+        if (wakeUpTimer != null) {
+            wakeUpTimer.cancel(false);
+        }
+        long dueAt = clock.now() + delay;
+        wakeUpTimer = loop.schedule(() -> {
+            wakeUpTimer = null;
+            counters.recordTimerDelay(clock.now() - dueAt);
+            submitInput(d -> { });
+        }, delay, TimeUnit.NANOSECONDS);
+    }
+
+    @Override public void requestMemberList() { } // the watch on discovery is always open
+
+    @Override public void log(String line) {
+        LOG.log(System.Logger.Level.INFO, line);
+    }
+
+    void logOnce(String line) {
+        if (loggedWarnings.size() < MAX_DISTINCT_WARNINGS && loggedWarnings.add(line)) {
+            LOG.log(System.Logger.Level.WARNING, line);
+        }
+    }
+
+    // ---- Services for connections ----
+
+    /**
+     * Ends the settling of a connection one tick from now. All connections share one timer, since their responses
+     * come in order of time.
+     */
+    void startSettling(MemberConnection connection) {
+        connection.idleSince = clock.now() + settings.tick();
+        settling.addLast(connection);
+        if (settling.size() == 1) {
+            loop.schedule(this::releaseSettled, settings.tick(), TimeUnit.NANOSECONDS);
+        }
+    }
+
+    private void releaseSettled() {
+        long now = clock.now();
+        while (!settling.isEmpty() && settling.peekFirst().idleSince <= now) {
+            settling.pollFirst().settlingEnded();
+        }
+        if (!settling.isEmpty()) {
+            loop.schedule(this::releaseSettled, settling.peekFirst().idleSince - now, TimeUnit.NANOSECONDS);
+        }
+    }
+
+    /**
+     * Whether a member's position, in Unix milliseconds, can be right. Prevents reads of stale data, which happen when
+     * a position well ahead of the clock passes for fresh data; a position that fails is counted.
+     */
+    boolean isPlausiblePosition(long millis) {
+        boolean plausible = millis >= 0
+                && millis - clock.now() / 1_000_000 <= settings.capabilities().connectTimeout() / 1_000_000;
+        counters.add("member.position.unreadable", plausible ? 0 : 1);
+        return plausible;
+    }
+
+    /** The Query message of a call-out, with the time that is left until its deadline. */
+    ByteBuf buildQuery(MemberRequest request, ByteBufAllocator allocator) {
+        trace.callOutSent(request.callOut);
+        Rpc rpc = request.callOut.rpc;
+        long remainingMillis = Math.max(1, (request.deadline - clock.now()) / 1_000_000);
+        return ((ClientSession) rpc.frontState).statement().queryForMember(allocator, remainingMillis);
+    }
+
+    /** The Query message of a probe: it asks for a load report where the settings say that probes carry one. */
+    ByteBuf buildProbeQuery(ByteBufAllocator allocator) {
+        boolean readsPositions = settings.positionSources().inProbes();
+        return Messages.query(allocator.buffer(32), readsPositions ? "SHOW server_load" : "SELECT 1");
+    }
+
+    /** Closes an idle connection to free its descriptor for a new one; false where no connection is idle. */
+    boolean closeAnyIdleConnection() {
+        return pools.values().stream().anyMatch(p -> p.closeOldestIdle(Long.MAX_VALUE, "room"));
+    }
+
+    /** Closes the member connections that have timed out: while they opened, on a request, or idle. */
+    void sweep(long idleTimeout) {
+        long now = clock.now();
+        new ArrayList<>(pools.values()).forEach(
+                p -> p.sweep(now, settings.capabilities().connectTimeout(), idleTimeout));
+    }
+
+    int inFlight() {
+        return inFlight;
+    }
+
+    int outstandingProbes() {
+        return outstandingProbes;
+    }
+
+    Settings settings() {
+        return settings;
+    }
+
+    void close() {
+        if (wakeUpTimer != null) {
+            wakeUpTimer.cancel(false);
+        }
+        new ArrayList<>(pools.values()).forEach(Pool::closeAll);
+    }
+}
--- a/src/main/java/reedquay/net/Gateway.java
+++ b/src/main/java/reedquay/net/Gateway.java
@@ -26,69 +26,72 @@
 import reedquay.core.Settings;
 import reedquay.route.Router;
 
-/** A gateway on sockets: built from a configuration, started, given a new one, stopped. It runs on one event loop. */
+/**
+ * A running proxy: accepts clients, follows discovery and connects to members. It is built from a configuration,
+ * started, possibly reloaded, and stopped. All its state is used on one event loop. Times in nanoseconds.
+ */
 public final class Gateway {
     private static final int BACKLOG = 1024;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
     private final Configuration configuration;
-    private final Callers callers; // null: nobody asks who calls
-    private final Clock clock = new Clock();
+    private final ClientIdentifier clientIdentifier; // null where only tenants are told apart
+    private final MonotonicClock clock = new MonotonicClock();
     private final Counters counters = new Counters();
     private final Limits limits;
-    private final Door door;
-    private final Discovery discovery;
-    private final long idleFor;
-    private final long sweepEvery;
+    private final Dispatcher dispatcher;
+    private final DiscoveryClient discovery;
+    private final long idleTimeout;
+    private final long sweepInterval;
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
-    private final Set<ClientSession> spoken = new LinkedHashSet<>(); // their startup has come
-    private final Set<ClientSession> unused = new LinkedHashSet<>(); // they have asked nothing, the oldest first
-    private final Set<ClientSession> free = new LinkedHashSet<>(); // the longest free one first
-    private final List<Runnable> waitingForReady = new ArrayList<>();
+    private final Set<ClientSession> startedSessions = new LinkedHashSet<>(); // their startup has come
+    private final Set<ClientSession> unusedSessions = new LinkedHashSet<>(); // no message after the startup yet
+    private final Set<ClientSession> idleSessions = new LinkedHashSet<>(); // between statements, longest idle first
+    private final List<Runnable> readinessCallbacks = new ArrayList<>();
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final long startedAt = clock.now();
-    private long sweptAt = startedAt;
+    private long lastSweepAt = startedAt;
     private boolean ready;
-    private boolean stopBegan;
-    private boolean stopping; // it ends with its last session
+    private boolean stopRequested;
+    private boolean stopping; // accepts no more; terminates with its last session
     private boolean listening;
     private Channel listener;
-    private InetSocketAddress listFrom; // where discovery is now
+    private InetSocketAddress discoveryAddress; // as of the last reload
 
-    /** Throws IllegalArgumentException where the settings are unfit. */
+    /** A gateway with the standard components. Throws IllegalArgumentException where the settings are invalid. */
     public Gateway(Configuration configuration) {
-        this(configuration, new Parts(Router::new, null));
+        this(configuration, new GatewayComponents(Router::new, null));
     }
 
-    /** The same with other parts, as stages before the Router. */
-    public Gateway(Configuration configuration, Parts parts) {
+    /** A gateway with other components, such as stages before the Router. */
+    public Gateway(Configuration configuration, GatewayComponents components) {
         this.configuration = configuration;
-        callers = parts.callers();
+        clientIdentifier = components.clientIdentifier();
         limits = new Limits(configuration.sockets(), configuration.memoryMb());
-        int connectMillis = 60_000; // never reached: the pool's sweep ends what does not come up in time
+        int connectMillis = 60_000; // never reached: the pool's sweep applies the connect timeout
         Bootstrap bootstrap = new Bootstrap().group(group).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis);
-        door = new Door(loop, bootstrap, clock, limits, counters, configuration.settings(), configuration.seed(),
-                parts.decider());
-        discovery = new Discovery(door, bootstrap, loop);
-        listFrom = configuration.discovery();
-        long keepalive = configuration.settings().keepalive();
-        idleFor = keepalive > 0 ? keepalive / 2 : Long.MAX_VALUE / 2;
-        sweepEvery = Math.max(1_000_000, door.settings().allowed().connectTimeout() / 8);
-        counters.gauge("client.open", limits::clientsOpen);
-        counters.gauge("member.open", limits::membersOpen);
-        counters.gauge("client.heldbytes", limits::held);
-        counters.gauge("client.partialbytes", limits::partial);
-    }
-
-    /** Listens and follows discovery; the future is the address that clients connect to. */
+        dispatcher = new Dispatcher(loop, bootstrap, clock, limits, counters, configuration.settings(),
+                configuration.seed(), components.engineFactory());
+        discovery = new DiscoveryClient(dispatcher, bootstrap, loop);
+        discoveryAddress = configuration.discovery();
+        long keepalive = configuration.settings().keepaliveTimeout();
+        idleTimeout = keepalive > 0 ? keepalive / 2 : Long.MAX_VALUE / 2;
+        sweepInterval = Math.max(1_000_000, dispatcher.settings().capabilities().connectTimeout() / 8);
+        counters.gauge("client.open", limits::openClients);
+        counters.gauge("member.open", limits::openMemberConnections);
+        counters.gauge("client.heldbytes", limits::heldBytes);
+        counters.gauge("client.partialbytes", limits::partialBytes);
+    }
+
+    /** Starts to listen and to follow discovery; the future is the address that clients connect to. */
     public CompletableFuture<InetSocketAddress> start() {
         CompletableFuture<InetSocketAddress> bound = new CompletableFuture<>();
         loop.execute(() -> {
-            if (configuration.known() != null) {
-                discovery.remembered(configuration.known());
+            if (configuration.rememberedMembers() != null) {
+                discovery.restore(configuration.rememberedMembers());
             }
             discovery.moveTo(configuration.discovery());
             sweep();
@@ -98,7 +101,7 @@
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override protected void initChannel(Channel channel) {
-                            ClientSession session = new ClientSession(Gateway.this, door);
+                            ClientSession session = new ClientSession(Gateway.this, dispatcher);
                             channel.pipeline().addLast(session.decoder, session);
                         }
                     })
@@ -109,302 +112,313 @@
                             bound.complete((InetSocketAddress) listener.localAddress());
                         } else {
                             bound.completeExceptionally(f.cause());
-                            finish();
+                            terminate();
                         }
                     });
         });
         return bound;
     }
 
+    /** Applies all timeouts, at intervals of sweepInterval. */
     private void sweep() {
         if (stopped.isDone()) {
             return;
         }
         long now = clock.now();
-        clock.follow(sweepEvery / 1000);
-        door.sweep(idleFor);
-        discovery.sweep();
+        clock.slewTowardsWallClock(sweepInterval / 1000);
+        dispatcher.sweep(idleTimeout);
+        discovery.closeSilentWatches();
         checkReady(now);
-        sweptAt = now;
-        int mayResume = limits.full() ? 0 : limits.messagesToCome(); // guards against all of them at once
+        lastSweepAt = now;
+        // bounded: resumed all at once, the sessions would exceed the memory again
+        int sessionsToResume = limits.isMemoryFull() ? 0 : limits.remainingMessages();
         for (ClientSession session : new ArrayList<>(sessions)) {
-            session.sweep(now, door.settings().allowed().connectTimeout());
-            if (mayResume > 0 && session.stalled()) {
-                mayResume--;
+            session.sweep(now, dispatcher.settings().capabilities().connectTimeout());
+            if (sessionsToResume > 0 && session.isPausedForMemory()) {
+                sessionsToResume--;
                 session.resume();
             }
         }
-        loop.schedule(this::sweep, sweepEvery, TimeUnit.NANOSECONDS);
+        loop.schedule(this::sweep, sweepInterval, TimeUnit.NANOSECONDS);
     }
 
     private void checkReady(long now) {
-        boolean late = now - startedAt >= patience(door.settings());
-        if (!ready && (discovery.told() && door.probesOut() == 0 || late)) {
+        boolean timedOut = now - startedAt >= startupTimeout(dispatcher.settings());
+        if (!ready && (discovery.hasReceivedList() && dispatcher.outstandingProbes() == 0 || timedOut)) {
             ready = true;
-            waitingForReady.forEach(Runnable::run);
-            waitingForReady.clear();
+            readinessCallbacks.forEach(Runnable::run);
+            readinessCallbacks.clear();
         }
     }
 
-    /** How long a start may take before clients are let in whatever is missing. */
-    static long patience(Settings settings) {
-        return 8 * settings.allowed().connectTimeout();
+    /** How long a start may take before clients are served whatever is missing. */
+    static long startupTimeout(Settings settings) {
+        return 8 * settings.capabilities().connectTimeout();
     }
 
-    /** Runs it at once, or when this gateway has heard enough to decide. */
-    void whenReady(Runnable then) {
+    /** Runs the callback once the member list and the results of the first probes are there, or startupTimeout ends. */
+    void whenReady(Runnable callback) {
         if (ready) {
-            then.run();
+            callback.run();
         } else {
-            waitingForReady.add(then);
+            readinessCallbacks.add(callback);
         }
     }
 
-    // ---- New configurations ----
+    // ---- Reload ----
 
     /**
-     * Reads a configuration that replaced the one this gateway runs with, on the caller's thread, and takes it on.
-     * Guards the gateway that runs: a file that is missing, half written or unfit changes nothing.
+     * Reads a new configuration, on the caller's thread, and applies it. A file that is missing, incomplete or invalid
+     * changes nothing; the future is false then.
      */
     public CompletableFuture<Boolean> reload(Path file) {
         try {
             return reload(Configuration.read(file));
         } catch (IOException | RuntimeException e) {
-            return onLoop(() -> {
+            return submitToEventLoop(() -> {
                 counters.add("reload.unfit");
-                door.log("a new configuration cannot be used, the running one stays: " + e.getMessage());
+                dispatcher.log("the new configuration is invalid, keeping the running one: " + e.getMessage());
                 return false;
             });
         }
     }
 
-    /** Takes on what can change while running; false where something in it needs a restart, which is logged. */
+    /** Applies what can change while running; false where some change needs a restart, which is logged. */
     public CompletableFuture<Boolean> reload(Configuration next) {
-        return onLoop(() -> {
+        return submitToEventLoop(() -> {
             counters.add("reload");
-            if (!next.discovery().equals(listFrom)) {
-                listFrom = next.discovery();
+            if (!next.discovery().equals(discoveryAddress)) {
+                discoveryAddress = next.discovery();
                 counters.add("discovery.moves");
-                discovery.moveTo(listFrom);
+                discovery.moveTo(discoveryAddress);
             }
-            String unlike = configuration.needsRestartFor(next);
-            if (!unlike.isEmpty()) {
+            String unchangeable = configuration.changesNeedingRestart(next);
+            if (!unchangeable.isEmpty()) {
                 counters.add("reload.restart");
-                door.log("the new configuration has another " + unlike + ": that needs a restart and is passed over");
+                dispatcher.log("the new configuration changes " + unchangeable
+                        + ": this needs a restart and is ignored");
             }
-            return unlike.isEmpty();
+            return unchangeable.isEmpty();
         });
     }
 
-    /** Has a change to its parts made on its own thread; false once it has stopped. */
-    public CompletableFuture<Boolean> change(Runnable made) {
-        return onLoop(() -> {
-            made.run();
+    /** Runs a change to the gateway's components on its event loop; false once it has stopped. */
+    public CompletableFuture<Boolean> runOnEventLoop(Runnable change) {
+        return submitToEventLoop(() -> {
+            change.run();
             return true;
         });
     }
 
-    /** False, and nothing is run, once this gateway has stopped. */
-    private CompletableFuture<Boolean> onLoop(Supplier<Boolean> change) {
-        CompletableFuture<Boolean> done = new CompletableFuture<>();
+    /** Runs the change on the event loop; false, with nothing run, once this gateway has stopped. */
+    private CompletableFuture<Boolean> submitToEventLoop(Supplier<Boolean> change) {
+        CompletableFuture<Boolean> result = new CompletableFuture<>();
         try {
-            loop.execute(() -> done.complete(change.get()));
+            loop.execute(() -> result.complete(change.get()));
         } catch (RejectedExecutionException e) {
-            done.complete(false); // the loop has ended: there is nothing left to change
+            result.complete(false); // the event loop has ended
         }
-        return done;
+        return result;
     }
 
-    /** The table of that name, its column names first; null where there is none. Read on the event loop. */
-    List<String[]> show(String what) {
-        if (!what.equals("discovery")) {
-            return door.show(what);
+    /** The table for SHOW of that name, column names first; null where there is none. Called on the event loop. */
+    List<String[]> showTable(String name) {
+        if (!name.equals("discovery")) {
+            return dispatcher.showTable(name);
         }
-        List<String[]> rows = new ArrayList<>(discovery.rows());
+        List<String[]> rows = new ArrayList<>(discovery.statusRows());
         rows.add(0, new String[] {"source", "state", "told", "in_force", "heard_ms_ago"});
         return rows;
     }
 
-    Callers callers() {
-        return callers;
+    ClientIdentifier clientIdentifier() {
+        return clientIdentifier;
     }
 
     // ---- Sessions ----
 
-    void opened(ClientSession session) {
+    /** Registers a session, and closes another where the soft limit is exceeded. */
+    void sessionOpened(ClientSession session) {
         sessions.add(session);
-        unused.add(session);
+        unusedSessions.add(session);
         if (limits.clientOpened()) {
-            ClientSession least = leastNeeded();
-            closeForRoom(least != null ? least : first(unused), session);
+            ClientSession candidate = sessionToClose();
+            closeToFreeDescriptor(candidate != null ? candidate : firstOf(unusedSessions), session);
         }
-        accepting();
+        updateAccepting();
     }
 
-    /** It has sent its startup. */
-    void spoke(ClientSession session) {
-        spoken.add(session);
-        keepRoom(session);
+    /** The session has sent its startup message. */
+    void startupReceived(ClientSession session) {
+        startedSessions.add(session);
+        closeExcessSessions(session);
     }
 
     /**
-     * Guards against clients that open a connection for each RPC and leave it open: they fill the share of the
-     * descriptors that a front allows itself, and it turns RPCs away while nearly all its connections stand free here.
+     * Closes sessions while more than the soft limit are started. Prevents a front from turning RPCs away, which
+     * happens when clients open a connection for each RPC and leave it open: the connections use up the descriptors
+     * that the front allows itself, although nearly all of them are idle here.
      */
-    private void keepRoom(ClientSession but) {
+    private void closeExcessSessions(ClientSession keep) {
         boolean closed = true;
-        while (closed && spoken.size() > limits.spokenWanted) {
-            closed = closeForRoom(leastNeeded(), but);
+        while (closed && startedSessions.size() > limits.startedSessionsSoftLimit) {
+            closed = closeToFreeDescriptor(sessionToClose(), keep);
         }
     }
 
     /**
-     * The oldest that has long asked nothing: guards the usual clients against hundreds that say nothing. Else the one
-     * longest free. One that has just come is neither: its first statement may lie unread, and it would come again.
+     * The oldest session that has sent no message for the length of the connect timeout, so that hundreds of silent
+     * clients can't displace those that work; else the session that has been idle longest, null for none. A session
+     * that has just connected is neither: its first statement may not have been read yet, and it would reconnect.
      */
-    private ClientSession leastNeeded() {
-        ClientSession oldest = first(unused);
-        boolean silent = oldest != null && clock.now() - oldest.came() >= door.settings().allowed().connectTimeout();
-        return silent ? oldest : first(free);
+    private ClientSession sessionToClose() {
+        ClientSession oldest = firstOf(unusedSessions);
+        boolean sentNothing = oldest != null
+                && clock.now() - oldest.connectedAt() >= dispatcher.settings().capabilities().connectTimeout();
+        return sentNothing ? oldest : firstOf(idleSessions);
     }
 
-    private static ClientSession first(Set<ClientSession> of) {
-        return of.isEmpty() ? null : of.iterator().next();
+    private static ClientSession firstOf(Set<ClientSession> ordered) {
+        return ordered.isEmpty() ? null : ordered.iterator().next();
     }
 
-    private boolean closeForRoom(ClientSession goes, ClientSession but) {
-        if (goes == null || goes == but) {
+    /** Closes the session, unless it is null or the one to keep; whether it was closed. */
+    private boolean closeToFreeDescriptor(ClientSession session, ClientSession keep) {
+        if (session == null || session == keep) {
             return false;
         }
         counters.add("client.closed.room");
-        spoken.remove(goes);
-        unused.remove(goes);
-        free.remove(goes);
-        goes.end();
+        startedSessions.remove(session);
+        unusedSessions.remove(session);
+        idleSessions.remove(session);
+        session.closeAfterFlush();
         return true;
     }
 
-    void closed(ClientSession session) {
+    void sessionClosed(ClientSession session) {
         sessions.remove(session);
-        spoken.remove(session);
-        unused.remove(session);
-        free.remove(session);
+        startedSessions.remove(session);
+        unusedSessions.remove(session);
+        idleSessions.remove(session);
         limits.clientClosed();
-        accepting();
+        updateAccepting();
         if (stopping) {
             checkStopped();
         }
     }
 
-    /** It has sent something behind its startup. */
-    void used(ClientSession session) {
-        unused.remove(session);
+    /** The session has sent a message after its startup. */
+    void commandReceived(ClientSession session) {
+        unusedSessions.remove(session);
     }
 
-    long sweptAt() {
-        return sweptAt;
+    long lastSweepAt() {
+        return lastSweepAt;
     }
 
-    /** Guards the memory: where messages that are not whole take too much of it, the longest of them goes. */
-    void partial(int bytes) {
-        limits.partial(bytes);
-        if (bytes > 0 && limits.partialFull()) {
+    /** Counts bytes of incomplete messages; where they take too much memory, the longest such message is rejected. */
+    void addPartialBytes(int bytes) {
+        limits.addPartialBytes(bytes);
+        if (bytes > 0 && limits.isPartialMemoryFull()) {
             counters.add("client.closed.partial");
-            sessions.stream().max(Comparator.comparingInt(ClientSession::partial)).get()
-                    .refuse("a message begun while memory is short");
+            sessions.stream().max(Comparator.comparingInt(ClientSession::partialBytes)).get()
+                    .rejectInput("a message begun while memory is short");
         }
     }
 
-    void free(ClientSession session, boolean isFree) {
-        free.remove(session);
-        if (isFree && sessions.contains(session) && !unused.contains(session)) {
-            free.add(session);
-            keepRoom(session);
+    /** Notes whether the session is between statements, which makes it a candidate for closing. */
+    void setIdle(ClientSession session, boolean isIdle) {
+        idleSessions.remove(session);
+        if (isIdle && sessions.contains(session) && !unusedSessions.contains(session)) {
+            idleSessions.add(session);
+            closeExcessSessions(session);
         }
     }
 
-    /** Guards the descriptors: what the limit leaves no room for waits in the backlog. */
-    private void accepting() {
+    /** Accepts connections only below the limit on descriptors; further ones wait in the listen backlog. */
+    private void updateAccepting() {
         if (listener != null && listening) {
-            listener.config().setAutoRead(limits.clientsOpen() < limits.clients);
+            listener.config().setAutoRead(limits.openClients() < limits.maxClients);
         }
     }
 
     // ---- Shutdown ----
 
     /**
-     * Takes new sessions for as long as clients still come, and serves those it has while an answer can be in time
-     * before the kill: guards the clients while another gateway is restarting too. Done when all is closed.
+     * Shuts down in order: accepts new sessions for as long as clients still connect, and serves open ones while an
+     * answer can be in time before the process is killed, since another gateway may be restarting at the same time.
+     * The future completes when everything is closed.
      */
     public CompletableFuture<Void> stop() {
         if (stopped.isDone()) {
             return stopped;
         }
         loop.execute(() -> {
-            if (stopBegan) {
+            if (stopRequested) {
                 return;
             }
-            stopBegan = true;
-            List<Method> methods = door.settings().methods();
-            long end = Shutdown.longest(methods.stream().mapToLong(Method::deadline).max().orElse(0));
-            long soft = methods.stream().mapToLong(Method::softDeadline).min().orElse(0);
-            door.answerBy(clock.now() + end - sweepEvery);
-            loop.schedule(this::takeNoMore, Shutdown.STILL_COMING, TimeUnit.NANOSECONDS);
-            loop.schedule(this::drain, Math.max(Shutdown.STILL_COMING, end - soft), TimeUnit.NANOSECONDS);
-            loop.schedule(this::finish, end, TimeUnit.NANOSECONDS);
+            stopRequested = true;
+            List<Method> methods = dispatcher.settings().methods();
+            long maxDuration = Shutdown.maxDurationNanos(methods.stream().mapToLong(Method::deadline).max().orElse(0));
+            long shortestSoftDeadline = methods.stream().mapToLong(Method::softDeadline).min().orElse(0);
+            dispatcher.answerAllBy(clock.now() + maxDuration - sweepInterval);
+            loop.schedule(this::stopAccepting, Shutdown.ACCEPT_NANOS, TimeUnit.NANOSECONDS);
+            loop.schedule(this::drainSessions, Math.max(Shutdown.ACCEPT_NANOS, maxDuration - shortestSoftDeadline),
+                    TimeUnit.NANOSECONDS);
+            loop.schedule(this::terminate, maxDuration, TimeUnit.NANOSECONDS);
         });
         return stopped;
     }
 
-    /** What lies in the backlog by now is accepted whatever the limit; the sessions there are go on. */
-    private void takeNoMore() {
+    /** Accepts what is in the backlog by now, whatever the limit, and then closes the listener; sessions go on. */
+    private void stopAccepting() {
         listening = false;
         stopping = true;
         if (listener != null) {
             listener.config().setAutoRead(true);
-            loop.schedule(() -> listener.close(), sweepEvery, TimeUnit.NANOSECONDS);
+            loop.schedule(() -> listener.close(), sweepInterval, TimeUnit.NANOSECONDS);
         }
-        loop.schedule(this::checkStopped, sweepEvery, TimeUnit.NANOSECONDS);
+        loop.schedule(this::checkStopped, sweepInterval, TimeUnit.NANOSECONDS);
     }
 
-    /** Ends at once, whatever is in hand. */
+    /** Stops at once, whatever is in flight; blocks until then. */
     void halt() {
-        loop.execute(this::finish);
+        loop.execute(this::terminate);
         stopped.join();
     }
 
-    private void drain() {
+    private void drainSessions() {
         new ArrayList<>(sessions).forEach(ClientSession::drain);
         checkStopped();
     }
 
     private void checkStopped() {
-        if (sessions.isEmpty() && door.inHand() == 0) {
-            finish();
+        if (sessions.isEmpty() && dispatcher.inFlight() == 0) {
+            terminate();
         }
     }
 
-    private void finish() {
+    private void terminate() {
         if (stopped.isDone()) {
             return;
         }
         discovery.close();
-        door.close();
+        dispatcher.close();
         if (listener != null) {
             listener.close();
         }
-        new ArrayList<>(sessions).forEach(ClientSession::end);
+        new ArrayList<>(sessions).forEach(ClientSession::closeAfterFlush);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         stopped.complete(null);
     }
 
-    /** What was taken in, sent and answered so far. */
+    /** The current value of every counter, by name. */
     public CompletableFuture<Map<String, Long>> counters() {
         CompletableFuture<Map<String, Long>> all = new CompletableFuture<>();
         if (loop.isShuttingDown()) {
-            all.complete(door.counts());
+            all.complete(dispatcher.allCounters());
         } else {
-            loop.execute(() -> all.complete(door.counts()));
+            loop.execute(() -> all.complete(dispatcher.allCounters()));
         }
         return all;
     }
--- a/src/main/java/reedquay/net/MemberConnection.java
+++ b/src/main/java/reedquay/net/MemberConnection.java
@@ -8,29 +8,34 @@
 import java.util.ArrayList;
 import java.util.List;
 import reedquay.core.Outcome;
-import reedquay.core.Report;
+import reedquay.core.LoadReport;
 import reedquay.core.Role;
 import reedquay.pg.Frame;
 import reedquay.pg.FrameDecoder;
 import reedquay.pg.Messages;
 
-/** One connection to a member; carries one send at a time. */
+/** One connection to a member; carries one request at a time. Times in nanoseconds. */
 final class MemberConnection extends ChannelInboundHandlerAdapter {
+    /**
+     * OPENING until the startup is complete, SETTLING for a tick after a response, RESERVED for a request that the
+     * routing engine has yet to confirm, BUSY from the query to the end of its response.
+     */
     enum State { OPENING, SETTLING, IDLE, RESERVED, BUSY, CLOSED }
 
-    private static final String ANSWER = "TDC"; // row description, row, completion: an answer is these, once each
+    /** The message types of a result, in order and once each: RowDescription, DataRow, CommandComplete. */
+    private static final String RESULT_TYPES = "TDC";
 
-    /** What came back for a send, up to ReadyForQuery. */
-    static final class Answer {
-        final List<Frame> frames = new ArrayList<>(ANSWER.length());
-        String error; // its SQLSTATE
+    /** What the member sent for a request, up to ReadyForQuery. */
+    static final class Response {
+        final List<Frame> frames = new ArrayList<>(RESULT_TYPES.length());
+        String sqlState; // of an ErrorResponse; null without one
         Role role = Role.UNKNOWN;
-        long millis;
-        boolean positioned;
-        String load;
+        long positionMillis;
+        boolean hasPosition;
+        String loadReport;
 
-        boolean complete() {
-            return frames.size() == ANSWER.length();
+        boolean isComplete() {
+            return frames.size() == RESULT_TYPES.length();
         }
 
         void release() {
@@ -39,22 +44,22 @@
         }
     }
 
-    private final Door door;
+    private final Dispatcher dispatcher;
     final Pool pool;
     final long openedAt;
-    final FrameDecoder decoder = FrameDecoder.ofServer(Limits.LONGEST_MESSAGE);
+    final FrameDecoder decoder = FrameDecoder.forServer(Limits.MAX_MESSAGE_BYTES);
     State state = State.OPENING;
     long idleSince;
-    Send send;
+    MemberRequest request;
     private Channel channel;
-    private Answer answer = new Answer();
+    private Response response = new Response();
     private boolean written;
-    private boolean spoilt;
-    private boolean used, kept; // kept: it has carried a statement before this one
-    private Outcome whyNot = Outcome.NO_CONNECTION; // what waits for this connection gets if it never comes up
+    private boolean malformed;
+    private boolean carriedRequest, reused; // reused: it carried a request before the current one
+    private Outcome openFailure = Outcome.NO_CONNECTION; // outcome of the waiting request if this never opens
 
-    MemberConnection(Door door, Pool pool, long openedAt) {
-        this.door = door;
+    MemberConnection(Dispatcher dispatcher, Pool pool, long openedAt) {
+        this.dispatcher = dispatcher;
         this.pool = pool;
         this.openedAt = openedAt;
     }
@@ -64,188 +69,190 @@
     }
 
     @Override public void channelActive(ChannelHandlerContext ctx) {
-        ctx.writeAndFlush(Messages.startup(ctx.alloc().buffer(64), "reedquay", "reedquay"));
+        ctx.writeAndFlush(Messages.startupMessage(ctx.alloc().buffer(64), "reedquay", "reedquay"));
     }
 
-    /** Sends the query of a send that has this connection to itself from here on. */
-    void write(Send next) {
-        door.counters.must(state == State.IDLE || state == State.RESERVED, "one send at a time on a connection");
-        kept = used;
-        used = true;
+    /** Writes the query of a request, which has this connection to itself from here on. */
+    void send(MemberRequest newRequest) {
+        dispatcher.counters.check(state == State.IDLE || state == State.RESERVED, "one send at a time on a connection");
+        reused = carriedRequest;
+        carriedRequest = true;
         state = State.BUSY;
-        send = next;
-        next.connection = this;
+        request = newRequest;
+        newRequest.connection = this;
         written = false;
-        answer = new Answer();
-        if (next.callOut != null) {
-            next.callOut.waiting = false;
+        response = new Response();
+        if (newRequest.callOut != null) {
+            newRequest.callOut.awaitingConnection = false;
         }
-        ByteBuf query = next.callOut == null ? door.probeQuery(channel.alloc())
-                : door.query(next, channel.alloc());
-        channel.writeAndFlush(query).addListener(f -> written |= send == next && f.isSuccess());
+        ByteBuf query = newRequest.callOut == null ? dispatcher.buildProbeQuery(channel.alloc())
+                : dispatcher.buildQuery(newRequest, channel.alloc());
+        channel.writeAndFlush(query).addListener(f -> written |= request == newRequest && f.isSuccess());
         if (!channel.isActive()) {
-            closed();
+            handleClosed();
         }
     }
 
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         Frame frame = (Frame) message;
-        boolean kept = false;
+        boolean retained = false;
         try {
             if (state == State.CLOSED) {
-                return; // what stood behind the breach
+                return; // input that follows a protocol violation
             }
             switch (frame.type) {
                 case 'T', 'D', 'C' -> {
-                    // guards against passing on what no member made: nothing is left out, twice, or out of its order
-                    if (state != State.BUSY || answer.error != null || answer.complete()
-                            || ANSWER.charAt(answer.frames.size()) != frame.type || !frame.wellFormed()) {
-                        breach("an answer that is spoilt, or that nothing asked for");
+                    // prevents passing on a malformed result: each part comes once, and in order
+                    if (state != State.BUSY || response.sqlState != null || response.isComplete()
+                            || RESULT_TYPES.charAt(response.frames.size()) != frame.type || !frame.isWellFormed()) {
+                        protocolViolation("a malformed or unexpected part of a result");
                         return;
                     }
-                    answer.frames.add(frame);
-                    kept = true;
+                    response.frames.add(frame);
+                    retained = true;
                 }
-                case 'E' -> error(frame);
+                case 'E' -> handleError(frame);
                 case 'S', 'N' -> {
                     if (state == State.BUSY && frame.type == 'S') {
-                        parameter(frame);
+                        handleParameterStatus(frame);
                     } else if (state != State.BUSY && state != State.OPENING) {
-                        breach("more than the answer");
+                        protocolViolation("data after the end of a response");
                     }
                 }
-                case 'Z' -> readyForQuery();
+                case 'Z' -> handleReadyForQuery();
                 case 'R' -> {
-                    if (state != State.OPENING || frame.bodyLength() < 4 || frame.content().getInt(frame.body()) != 0) {
-                        breach("a request for authentication that is not known here");
+                    if (state != State.OPENING || frame.bodyLength() < 4
+                            || frame.content().getInt(frame.bodyStart()) != 0) {
+                        protocolViolation("an unsupported authentication request");
                     }
                 }
                 case 'K' -> { }
-                default -> breach("a message that answers no simple query");
+                default -> protocolViolation("a message type that is no response to a simple query");
             }
         } finally {
-            if (!kept) {
+            if (!retained) {
                 frame.release();
             }
         }
     }
 
-    private void error(Frame frame) {
-        String code = frame.wellFormed() ? frame.fields().getOrDefault('C', "") : "";
+    private void handleError(Frame frame) {
+        String code = frame.isWellFormed() ? frame.errorFields().getOrDefault('C', "") : "";
         if (state == State.OPENING) {
-            whyNot = code.equals("53300") ? Outcome.FULL : Outcome.NO_CONNECTION;
+            openFailure = code.equals("53300") ? Outcome.FULL : Outcome.NO_CONNECTION;
             channel.close();
         } else if (state != State.BUSY) {
-            close(); // it says why it is about to close
-        } else if (code.isEmpty() || answer.error != null || answer.complete()) {
-            breach("an error that is spoilt");
+            close(); // an error between requests announces that the member closes
+        } else if (code.isEmpty() || response.sqlState != null || response.isComplete()) {
+            protocolViolation("a malformed or unexpected error");
         } else {
-            answer.error = code;
+            response.sqlState = code;
         }
     }
 
-    private void parameter(Frame frame) {
-        String name = frame.text(0);
-        String value = frame.text(name.length() + 1);
+    private void handleParameterStatus(Frame frame) {
+        String name = frame.stringAt(0);
+        String value = frame.stringAt(name.length() + 1);
         if (name.equals("node_role")) {
-            answer.role = value.equals("leader") ? Role.PRIMARY : value.equals("follower") ? Role.REPLICA
+            response.role = value.equals("leader") ? Role.PRIMARY : value.equals("follower") ? Role.REPLICA
                     : Role.UNKNOWN;
         } else if (name.equals("replay_position")) {
             try {
-                answer.millis = Long.parseLong(value.strip());
-                answer.positioned = door.credible(answer.millis);
+                response.positionMillis = Long.parseLong(value.strip());
+                response.hasPosition = dispatcher.isPlausiblePosition(response.positionMillis);
             } catch (NumberFormatException e) {
-                door.counters.add("member.position.unreadable");
+                dispatcher.counters.add("member.position.unreadable");
             }
         } else if (name.equals("server_load")) {
-            answer.load = value;
+            response.loadReport = value;
         }
     }
 
-    private void readyForQuery() {
+    private void handleReadyForQuery() {
         if (state == State.OPENING) {
-            pool.cameUp();
-            settled();
+            pool.connectionOpened();
+            settlingEnded();
         } else if (state == State.BUSY) {
-            if (!answer.complete() && answer.error == null) {
-                breach("ready for a query without an answer to the last one");
+            if (!response.isComplete() && response.sqlState == null) {
+                protocolViolation("ReadyForQuery without a response to the query");
                 return;
             }
-            Send finished = send;
-            Answer whole = answer;
-            answer = new Answer();
-            send = null;
+            MemberRequest finished = request;
+            Response completeResponse = response;
+            response = new Response();
+            request = null;
             state = State.SETTLING;
-            door.answered(finished, whole);
-            door.settle(this);
+            dispatcher.responseReceived(finished, completeResponse);
+            dispatcher.startSettling(this);
         } else {
-            breach("ready for a query twice");
+            protocolViolation("ReadyForQuery twice");
         }
     }
 
     /**
-     * Free again, if nothing came behind the last answer. Guards against the gravest mistake, a second copy of one
-     * answer that passes for the answer to the next statement: it is waited for, what comes ends the connection
+     * Makes the connection idle again, if nothing followed the last response. Prevents the answer to one statement from
+     * being served for the next, which happens when a member sends a second copy of a response: it is waited for, and
+     * any data that comes ends the connection.
      */
-    void settled() {
+    void settlingEnded() {
         if (state == State.CLOSED || !channel.isActive()) {
             return;
         }
-        if (!clean()) {
-            breach("more than the answer");
+        if (!isClean()) {
+            protocolViolation("data after the end of a response");
             return;
         }
         state = State.IDLE;
-        idleSince = door.clock.now();
-        pool.ready(this);
+        idleSince = dispatcher.clock.now();
+        pool.connectionReady(this);
     }
 
-    /** Whether nothing of a further message has come. */
-    boolean clean() {
-        return !decoder.begun();
+    /** Whether no byte of a further message has come. */
+    boolean isClean() {
+        return !decoder.hasPartialMessage();
     }
 
-    private void breach(String what) {
-        door.counters.add("member.breach");
-        door.logOnce("a member sent what the protocol does not allow: " + what);
-        spoilt = state == State.BUSY; // it has run: nothing of it is passed on or believed
+    private void protocolViolation(String violation) {
+        dispatcher.counters.add("member.breach");
+        dispatcher.logOnce("a member violated the protocol: " + violation);
+        malformed = state == State.BUSY; // the statement ran; nothing of its response is passed on or trusted
         channel.close();
-        closed();
+        handleClosed();
     }
 
     @Override public void channelInactive(ChannelHandlerContext ctx) {
-        closed();
+        handleClosed();
     }
 
-    /** The connection is gone, whoever ended it. */
-    private void closed() {
-        State before = state;
-        if (before == State.CLOSED) {
+    /** Ends the request of a connection that closed, whichever side closed it. */
+    private void handleClosed() {
+        State previous = state;
+        if (previous == State.CLOSED) {
             return;
         }
         state = State.CLOSED;
-        Send broken = send;
-        Answer last = answer;
-        send = null;
-        answer = null;
-        door.limits.memberClosed();
-        pool.closed(this, before, whyNot);
-        if (broken != null && !spoilt && (last.complete() || last.error != null)) {
-            door.answered(broken, last); // whole, though no ReadyForQuery came
+        MemberRequest interrupted = request;
+        Response lastResponse = response;
+        request = null;
+        response = null;
+        dispatcher.limits.memberConnectionClosed();
+        pool.connectionClosed(this, previous, openFailure);
+        if (interrupted != null && !malformed && (lastResponse.isComplete() || lastResponse.sqlState != null)) {
+            dispatcher.responseReceived(interrupted, lastResponse); // complete, though no ReadyForQuery came
             return;
         }
-        last.release();
-        if (broken != null) {
-            // guards against calling unsent what was written: unsure counts as may have run; and against holding it
-            // against a member that a connection kept to it was of no more use: a dead process refuses the next one
-            door.ended(broken, spoilt ? Outcome.SPOILT : !written ? Outcome.NO_CONNECTION
-                    : kept ? Outcome.STALE : Outcome.RESET);
+        lastResponse.release();
+        if (interrupted != null) {
+            // A query that may have been written counts as one that may have run. A reused connection that broke says
+            // nothing against the member: if its process is dead, it refuses the next connection.
+            dispatcher.requestFailed(interrupted, malformed ? Outcome.SPOILT : !written ? Outcome.NO_CONNECTION
+                    : reused ? Outcome.STALE : Outcome.RESET);
         }
     }
 
-    /** Closes without a word to whoever waits: the send was given up. */
-    void giveUp() {
-        send = null;
+    /** Closes without completing the request; the caller does that. */
+    void abandon() {
+        request = null;
         close();
     }
 
@@ -254,28 +261,28 @@
             channel.writeAndFlush(Messages.terminate(channel.alloc().buffer(8)));
         }
         channel.close();
-        closed();
+        handleClosed();
     }
 
     @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof java.io.IOException) && state != State.CLOSED) {
-            breach("what is no message, or one of an impossible length");
+            protocolViolation("an unknown message type or an invalid length");
         }
         ctx.close();
     }
 
-    /** The load report that a probe or an answer brought. */
-    static Report report(Door door, Answer answer, boolean fromRow) {
-        String text = answer.load;
-        if (fromRow && answer.frames.size() == 3) {
-            Frame row = answer.frames.get(1);
-            text = row.type == 'D' && row.bodyLength() > 6 ? row.text(6) : text;
+    /** The load report in a response; fromRow: a probe's, whose report is the value of its row. */
+    static LoadReport parseLoadReport(Dispatcher dispatcher, Response response, boolean fromRow) {
+        String text = response.loadReport;
+        if (fromRow && response.frames.size() == 3) {
+            Frame row = response.frames.get(1);
+            text = row.type == 'D' && row.bodyLength() > 6 ? row.stringAt(6) : text;
         }
         try {
-            return text == null ? Report.NONE : door.reports.named(text);
+            return text == null ? LoadReport.NONE : dispatcher.reports.parsePairs(text);
         } catch (NumberFormatException | ArithmeticException e) {
-            door.counters.add("member.report.unreadable");
-            return Report.NONE;
+            dispatcher.counters.add("member.report.unreadable");
+            return LoadReport.NONE;
         }
     }
 }
--- a/src/main/java/reedquay/net/Pool.java
+++ b/src/main/java/reedquay/net/Pool.java
@@ -12,68 +12,71 @@
 import reedquay.core.Member;
 import reedquay.core.Outcome;
 
-/** The connections to one member. The one used last goes out first, so that the others fall idle. */
+/**
+ * The connections to one member. The most recently used one is taken first, so that surplus connections reach their
+ * idle timeout. Times in nanoseconds.
+ */
 final class Pool {
     final Member member;
-    private final Door door;
+    private final Dispatcher dispatcher;
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
     private long startedAt;
-    private final Set<MemberConnection> all = new LinkedHashSet<>();
+    private final Set<MemberConnection> connections = new LinkedHashSet<>();
     private final ArrayDeque<MemberConnection> idle = new ArrayDeque<>();
-    private final ArrayDeque<Send> waiting = new ArrayDeque<>();
-    private int opening;
+    private final ArrayDeque<MemberRequest> pendingRequests = new ArrayDeque<>();
+    private int openingCount;
 
-    Pool(Door door, Member member, Bootstrap bootstrap) {
-        this.door = door;
+    Pool(Dispatcher dispatcher, Member member, Bootstrap bootstrap) {
+        this.dispatcher = dispatcher;
         this.member = member;
         this.bootstrap = bootstrap;
     }
 
-    /** What the list says of the member's process; connections to an earlier one are of no use. */
-    void located(InetSocketAddress where, long started) {
-        if (!where.equals(address) || started > startedAt) {
-            dropIdle("moved");
+    /** Takes address and process start from the member list; idle connections to an earlier process are closed. */
+    void updateLocation(InetSocketAddress newAddress, long newStartedAt) {
+        if (!newAddress.equals(address) || newStartedAt > startedAt) {
+            closeAllIdle("moved");
         }
-        address = where;
-        startedAt = Math.max(startedAt, started);
+        address = newAddress;
+        startedAt = Math.max(startedAt, newStartedAt);
     }
 
-    /** Sends at once on an idle connection, else when the next one is ready. */
-    void submit(Send send) {
+    /** Sends a request on an idle connection, or else on the next one that is ready. */
+    void submit(MemberRequest request) {
         MemberConnection connection = idle.pollFirst();
-        while (connection != null && !connection.clean()) { // guards against a surplus that came while it was idle
+        while (connection != null && !connection.isClean()) { // data came while it was idle
             connection.close();
             connection = idle.pollFirst();
         }
         if (connection != null) {
-            door.counters.add("member.reused");
-            connection.write(send);
+            dispatcher.counters.add("member.reused");
+            connection.send(request);
             return;
         }
-        waiting.addLast(send);
-        if (opening < waiting.size() && !open()) {
-            waiting.remove(send);
-            door.counters.add("member.nodescriptor");
-            door.ended(send, Outcome.NEVER_SENT);
+        pendingRequests.addLast(request);
+        if (openingCount < pendingRequests.size() && !openConnection()) {
+            pendingRequests.remove(request);
+            dispatcher.counters.add("member.nodescriptor");
+            dispatcher.requestFailed(request, Outcome.NEVER_SENT);
         }
     }
 
-    private boolean open() {
-        if (address == null || !door.limits.mayOpenMember() && !door.closeIdle()) {
-            return false; // no list has said where, or no descriptor is left
+    private boolean openConnection() {
+        if (address == null || !dispatcher.limits.canOpenMemberConnection() && !dispatcher.closeAnyIdleConnection()) {
+            return false; // no address is known, or no descriptor is left
         }
-        door.limits.memberOpened();
-        door.counters.add("member.opened");
-        opening++;
-        MemberConnection connection = new MemberConnection(door, this, door.clock.now());
-        all.add(connection);
-        ChannelFuture up = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
+        dispatcher.limits.memberConnectionOpened();
+        dispatcher.counters.add("member.opened");
+        openingCount++;
+        MemberConnection connection = new MemberConnection(dispatcher, this, dispatcher.clock.now());
+        connections.add(connection);
+        ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
             @Override protected void initChannel(Channel channel) {
                 channel.pipeline().addLast(connection.decoder, connection);
             }
         }).connect(address);
-        up.addListener(f -> {
+        connecting.addListener(f -> {
             if (!f.isSuccess()) {
                 connection.close();
             }
@@ -81,81 +84,82 @@
         return true;
     }
 
-    void cameUp() {
-        opening--;
+    /** A connection has completed its startup. */
+    void connectionOpened() {
+        openingCount--;
     }
 
-    /** A connection has come up or has become free. */
-    void ready(MemberConnection connection) {
-        Send next = waiting.pollFirst();
+    /** Gives a connection that is open and free to the request that has waited longest, or keeps it idle. */
+    void connectionReady(MemberConnection connection) {
+        MemberRequest next = pendingRequests.pollFirst();
         if (next == null) {
             idle.addFirst(connection);
         } else if (next.callOut == null) {
-            connection.write(next);
+            connection.send(next);
         } else {
             connection.state = MemberConnection.State.RESERVED;
-            connection.send = next;
+            connection.request = next;
             next.connection = connection;
-            door.input(d -> d.ready(next.callOut));
+            dispatcher.submitInput(d -> d.connectionReady(next.callOut));
         }
     }
 
-    void closed(MemberConnection connection, MemberConnection.State before, Outcome whyNot) {
-        all.remove(connection);
+    void connectionClosed(MemberConnection connection, MemberConnection.State previous, Outcome openFailure) {
+        connections.remove(connection);
         idle.remove(connection);
-        if (before == MemberConnection.State.OPENING) {
-            opening--;
-            door.counters.add("member.unopened");
-            if (waiting.size() > opening) {
-                door.ended(waiting.pollFirst(), whyNot);
+        if (previous == MemberConnection.State.OPENING) {
+            openingCount--;
+            dispatcher.counters.add("member.unopened");
+            if (pendingRequests.size() > openingCount) {
+                dispatcher.requestFailed(pendingRequests.pollFirst(), openFailure);
             }
         }
     }
 
-    /** Takes back what has not been written; its connection serves another. */
-    void withdraw(Send send) {
-        MemberConnection reserved = send.connection;
+    /** Withdraws a request that has not been written; a connection reserved for it serves the next one. */
+    void withdraw(MemberRequest request) {
+        MemberConnection reserved = request.connection;
         if (reserved == null) {
-            waiting.remove(send);
+            pendingRequests.remove(request);
             return;
         }
-        send.connection = null;
-        reserved.send = null;
+        request.connection = null;
+        reserved.request = null;
         reserved.state = MemberConnection.State.IDLE;
-        ready(reserved);
+        connectionReady(reserved);
     }
 
-    /** Closes the connection that has been idle longest, as long as it is one since before the given time. */
-    boolean closeOldest(long before, String why) {
+    /** Closes the connection that has been idle longest, if it became idle before the given time. */
+    boolean closeOldestIdle(long idleBefore, String reason) {
         MemberConnection oldest = idle.peekLast();
-        if (oldest == null || oldest.idleSince >= before) {
+        if (oldest == null || oldest.idleSince >= idleBefore) {
             return false;
         }
-        door.counters.add("member.closed." + why);
+        dispatcher.counters.add("member.closed." + reason);
         oldest.close();
         return true;
     }
 
-    void dropIdle(String why) {
-        while (closeOldest(Long.MAX_VALUE, why)) { }
+    void closeAllIdle(String reason) {
+        while (closeOldestIdle(Long.MAX_VALUE, reason)) { }
     }
 
-    /** Ends what has taken too long: to come up, to answer, or without work. */
-    void sweep(long now, long connectTimeout, long idleFor) {
-        while (closeOldest(now - idleFor, "idle")) { }
-        for (MemberConnection c : new ArrayList<>(all)) {
-            if (c.state == MemberConnection.State.OPENING && now - c.openedAt >= connectTimeout) {
-                c.close();
-            } else if (c.state == MemberConnection.State.BUSY && now >= c.send.until) {
-                Send late = c.send;
-                door.counters.add("member.closed.timeout");
-                c.giveUp();
-                door.ended(late, Outcome.TIMED_OUT);
+    /** Closes connections that exceeded a timeout: while opening, on a request, or idle. */
+    void sweep(long now, long connectTimeout, long idleTimeout) {
+        while (closeOldestIdle(now - idleTimeout, "idle")) { }
+        for (MemberConnection connection : new ArrayList<>(connections)) {
+            if (connection.state == MemberConnection.State.OPENING && now - connection.openedAt >= connectTimeout) {
+                connection.close();
+            } else if (connection.state == MemberConnection.State.BUSY && now >= connection.request.deadline) {
+                MemberRequest timedOut = connection.request;
+                dispatcher.counters.add("member.closed.timeout");
+                connection.abandon();
+                dispatcher.requestFailed(timedOut, Outcome.TIMED_OUT);
             }
         }
     }
 
     void closeAll() {
-        new ArrayList<>(all).forEach(MemberConnection::close);
+        new ArrayList<>(connections).forEach(MemberConnection::close);
     }
 }
--- a/src/main/java/reedquay/net/Trace.java
+++ b/src/main/java/reedquay/net/Trace.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 import reedquay.core.CallOut;
-import reedquay.core.Listed;
+import reedquay.core.ListedMember;
 import reedquay.core.Outcome;
 import reedquay.core.Rpc;
 
 /**
- * The way of each RPC through this gateway, a line an event with the RPC's id first, where the logger takes debug
- * lines when the gateway is made; else no line is made. Ids are those of the wire, so that one RPC and its client's
- * further tries can be followed through the logs of many gateways.
+ * Debug log of the events of each RPC, one line per event, with the RPC's id first. Enabled where the logger takes
+ * debug lines when the gateway is created; otherwise no line is built. Ids are those of the wire, so that an RPC and
+ * its client's retries can be followed through the logs of many gateways.
  */
 final class Trace {
     private static final System.Logger LOG = System.getLogger("reedquay.trace");
-    final boolean on = LOG.isLoggable(System.Logger.Level.DEBUG);
+    final boolean enabled = LOG.isLoggable(System.Logger.Level.DEBUG);
 
     private static void line(String text) {
         LOG.log(System.Logger.Level.DEBUG, text);
@@ -23,36 +23,36 @@
         return "rpc " + Long.toHexString(rpc.id);
     }
 
-    void taken(Rpc rpc, long now) {
-        if (on) {
+    void rpcAccepted(Rpc rpc, long now) {
+        if (enabled) {
             line(id(rpc) + " taken: " + rpc.method.name() + ", group " + rpc.group + (rpc.retry ? ", a retry" : "")
-                    + ", due in " + (rpc.due - now) / 1_000_000 + " ms");
+                    + ", due in " + (rpc.deadline - now) / 1_000_000 + " ms");
         }
     }
 
-    void sent(CallOut call) {
-        if (on) {
+    void callOutSent(CallOut call) {
+        if (enabled) {
             line(id(call.rpc) + " sent to " + call.member.id);
         }
     }
 
-    void ended(CallOut call, Outcome outcome, long took) {
-        if (on) {
+    void callOutEnded(CallOut call, Outcome outcome, long took) {
+        if (enabled) {
             line(id(call.rpc) + " " + outcome + " of " + call.member.id + " after " + took / 1_000_000 + " ms");
         }
     }
 
-    /** why: what the decisions went by, asked only where it is wanted. */
-    void answered(Rpc rpc, String how, String why) {
-        if (on) {
-            line(id(rpc) + " " + how + (why.isEmpty() ? "" : ": " + why));
+    /** reason: what the routing engine based its decision on; empty for none. */
+    void rpcEnded(Rpc rpc, String outcome, String reason) {
+        if (enabled) {
+            line(id(rpc) + " " + outcome + (reason.isEmpty() ? "" : ": " + reason));
         }
     }
 
-    /** Guards the reader of a log against guessing when this gateway was told: only what is not up is of interest. */
-    void listed(List<Listed> entries) {
-        if (on) {
-            entries.stream().filter(e -> e.phase() != Listed.Phase.UP)
+    /** Logs when this gateway was notified of members that are not UP. */
+    void membersListed(List<ListedMember> entries) {
+        if (enabled) {
+            entries.stream().filter(e -> e.phase() != ListedMember.Phase.UP)
                     .forEach(e -> line("listed " + e.member().id + " " + e.phase()));
         }
     }
--- a/src/main/java/reedquay/net/Rehearsal.java
+++ b/src/main/java/reedquay/net/WarmUp.java
@@ -28,22 +28,23 @@
 import reedquay.pg.Messages;
 
 /**
- * RPCs through a gateway of the same settings before the true one starts, to members that answer at once, all within
- * this process and on its own address. Guards the first seconds in service: on part of a core the JVM takes seconds to
- * compile what serving needs. A class archive made meanwhile makes the next start quick.
+ * Warms up the JVM before a gateway starts: sends RPCs through another gateway with the same settings to members that
+ * answer at once, all within this process and on its own address. Prevents a slow start of service, which happens when
+ * the JVM has only part of a core and takes seconds to compile what serving needs. A class archive that is written
+ * during the run also makes the next start quicker. The commands rehearse and serve run it.
  */
-public final class Rehearsal {
+public final class WarmUp {
     private static final int CLIENTS = 8;
-    private static final int ROUNDS = 64; // each client sends one RPC of each method a round
+    private static final int ROUNDS = 64; // in each, every client sends one RPC of each method
 
-    private Rehearsal() { }
+    private WarmUp() { }
 
     /**
-     * config: the JSON text of a fit configuration. Ends early where it takes as long as a start may wait. Returns the
-     * counters of the gateway that rehearsed.
+     * Runs the warm-up and returns the counters of its gateway. config: the JSON text of a valid configuration. Ends
+     * early after the time that a gateway's start may take.
      */
     public static Map<String, Long> run(String config) throws IOException {
-        JsonObject all = JsonParser.parseString(config).getAsJsonObject();
+        JsonObject root = JsonParser.parseString(config).getAsJsonObject();
         String host = Configuration.parse(config).listen().getAddress().getHostAddress();
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try {
@@ -57,15 +58,15 @@
                 member.addProperty("role", primary ? "leader" : "follower");
                 members.add(member);
             }
-            JsonObject known = new JsonObject();
-            known.add("instances", members);
-            all.add("known", known);
-            all.addProperty("listen", host + ":0");
-            all.addProperty("discovery", members.get(0).getAsJsonObject().get("hostPort").getAsString());
-            Configuration configuration = Configuration.parse(all.toString());
+            JsonObject memberList = new JsonObject();
+            memberList.add("instances", members);
+            root.add("known", memberList);
+            root.addProperty("listen", host + ":0");
+            root.addProperty("discovery", members.get(0).getAsJsonObject().get("hostPort").getAsString());
+            Configuration configuration = Configuration.parse(root.toString());
             Gateway gateway = new Gateway(configuration);
             try {
-                play(gateway.start().join(), configuration.settings().settings(0));
+                sendRpcs(gateway.start().join(), configuration.settings().readSettings(0));
                 return gateway.counters().join();
             } finally {
                 gateway.halt();
@@ -75,16 +76,17 @@
         }
     }
 
-    private static void play(InetSocketAddress at, Settings settings) throws IOException {
-        long end = System.nanoTime() + Gateway.patience(settings);
+    private static void sendRpcs(InetSocketAddress gatewayAddress, Settings settings) throws IOException {
+        long end = System.nanoTime() + Gateway.startupTimeout(settings);
         List<Socket> clients = new ArrayList<>();
         try {
             for (int i = 0; i < CLIENTS; i++) {
-                Socket client = new Socket(at.getAddress(), at.getPort());
-                client.setSoTimeout((int) (Gateway.patience(settings) / 1_000_000));
+                Socket client = new Socket(gatewayAddress.getAddress(), gatewayAddress.getPort());
+                client.setSoTimeout((int) (Gateway.startupTimeout(settings) / 1_000_000));
                 clients.add(client);
-                client.getOutputStream().write(bytes(Messages.startup(Unpooled.buffer(), "rehearsal", "rehearsal")));
-                await(client, 1);
+                client.getOutputStream().write(
+                        bytes(Messages.startupMessage(Unpooled.buffer(), "rehearsal", "rehearsal")));
+                awaitReadyForQuery(client, 1);
             }
             int id = 0;
             for (int round = 0; round < ROUNDS && System.nanoTime() < end; round++) {
@@ -93,12 +95,12 @@
                     for (Method method : settings.methods()) {
                         Messages.query(out, "/* id=" + Integer.toHexString(++id) + ",c=" + method.name()
                                 + ",t=rehearsal,d=" + method.deadline() / 1_000_000 + ",k=" + id + ",cluster=1 */ "
-                                + (method.need() == Method.Need.WRITE ? "INSERT" : "SELECT") + " 'key'");
+                                + (method.consistency() == Method.Consistency.WRITE ? "INSERT" : "SELECT") + " 'key'");
                     }
                     client.getOutputStream().write(bytes(out));
                 }
                 for (Socket client : clients) {
-                    await(client, settings.methods().size());
+                    awaitReadyForQuery(client, settings.methods().size());
                 }
             }
         } finally {
@@ -114,11 +116,11 @@
         return bytes;
     }
 
-    /** Reads up to that many ReadyForQuery. */
-    private static void await(Socket client, int answers) throws IOException {
+    /** Reads from the client's connection until that many ReadyForQuery have come. */
+    private static void awaitReadyForQuery(Socket client, int count) throws IOException {
         DataInputStream in = new DataInputStream(client.getInputStream());
-        for (int left = answers; left > 0; ) {
-            left -= in.readByte() == 'Z' ? 1 : 0;
+        for (int remaining = count; remaining > 0; ) {
+            remaining -= in.readByte() == 'Z' ? 1 : 0;
             in.skipNBytes(in.readInt() - 4);
         }
     }
@@ -127,36 +129,37 @@
         Channel listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(FrameDecoder.ofClient(Limits.LONGEST_MESSAGE), new Player(primary));
+                        channel.pipeline().addLast(FrameDecoder.forClient(Limits.MAX_MESSAGE_BYTES),
+                                new ImmediateMember(primary));
                     }
                 }).bind(host, 0).syncUninterruptibly().channel();
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     /** A member that answers each statement at once. */
-    private static final class Player extends ChannelInboundHandlerAdapter {
+    private static final class ImmediateMember extends ChannelInboundHandlerAdapter {
         private final boolean primary;
 
-        Player(boolean primary) {
+        ImmediateMember(boolean primary) {
             this.primary = primary;
         }
 
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
             Frame frame = (Frame) message;
             ByteBuf out = ctx.alloc().buffer();
-            if (frame.type == Frame.FIRST) {
-                Messages.welcome(out, 1, 1);
+            if (frame.type == Frame.UNTYPED) {
+                Messages.startupResponse(out, 1, 1);
             } else {
-                Messages.complete(Messages.row(Messages.columns(out, "data"), "value"), "SELECT 1");
-                Messages.parameter(out, "node_role", primary ? "leader" : "follower");
-                Messages.parameter(out, "replay_position", Long.toString(System.currentTimeMillis()));
+                Messages.commandComplete(Messages.dataRow(Messages.rowDescription(out, "data"), "value"), "SELECT 1");
+                Messages.parameterStatus(out, "node_role", primary ? "leader" : "follower");
+                Messages.parameterStatus(out, "replay_position", Long.toString(System.currentTimeMillis()));
             }
             frame.release();
-            ctx.writeAndFlush(Messages.ready(out));
+            ctx.writeAndFlush(Messages.readyForQuery(out));
         }
 
         @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close(); // the watch on discovery comes here, since the rehearsal has none
+            ctx.close(); // the discovery watch ends here too: its address is a member's, since there is no discovery
         }
     }
 }
--- a/src/main/java/reedquay/pg/Frame.java
+++ b/src/main/java/reedquay/pg/Frame.java
@@ -6,18 +6,24 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One message of protocol version 3 as the bytes that came; content() is all of it, type and length too. */
+/**
+ * One message of the PostgreSQL protocol, version 3, as the bytes that came. content() is the whole message, its type
+ * and length included; offsets in the body count from behind these.
+ */
 public final class Frame extends DefaultByteBufHolder {
-    /** The type of a message that has none: the first of a connection. */
-    public static final byte FIRST = 0;
-    public static final int VERSION_3 = 196608, SSL = 80877103, GSS = 80877104, CANCEL = 80877102;
-    private static final int HEAD = 5;
-    private static final int COLUMN = 18; // what describes a column, behind its name
+    /** Stands for the type of a message that has none: the first ones that a client sends on a connection. */
+    public static final byte UNTYPED = 0;
+    /** Codes that untyped messages begin with. */
+    public static final int PROTOCOL_VERSION_3 = 196608, SSL_REQUEST = 80877103, GSS_ENCRYPTION_REQUEST = 80877104,
+            CANCEL_REQUEST = 80877102;
+    private static final int HEADER_BYTES = 5; // type and length
+    private static final int COLUMN_DESCRIPTOR_BYTES = 18; // of a RowDescription, behind the column's name
 
     public final byte type;
 
-    public Frame(byte type, ByteBuf whole) {
-        super(whole);
+    /** type: UNTYPED for a message without a type; message: all of it, with type and length. */
+    public Frame(byte type, ByteBuf message) {
+        super(message);
         this.type = type;
     }
 
@@ -25,88 +31,92 @@
         return new Frame(type, content);
     }
 
-    /** Where the message's own fields begin. */
-    public int body() {
-        return content().readerIndex() + (type == FIRST ? 4 : HEAD);
+    /** The index in content() where the message's body begins. */
+    public int bodyStart() {
+        return content().readerIndex() + (type == UNTYPED ? 4 : HEADER_BYTES);
     }
 
+    /** The length of the body in bytes. */
     public int bodyLength() {
-        return content().readableBytes() - (type == FIRST ? 4 : HEAD);
+        return content().readableBytes() - (type == UNTYPED ? 4 : HEADER_BYTES);
     }
 
-    /** The request code or protocol version of a first message; 0 where it is too short for one. */
-    public int code() {
-        return bodyLength() < 4 ? 0 : content().getInt(body());
+    /** The request code or protocol version of an untyped message; 0 where it is too short for one. */
+    public int startupCode() {
+        return bodyLength() < 4 ? 0 : content().getInt(bodyStart());
     }
 
-    public boolean startsWith(String ascii) {
-        boolean does = bodyLength() >= ascii.length();
-        for (int i = 0; does && i < ascii.length(); i++) {
-            does = content().getByte(body() + i) == ascii.charAt(i);
+    /** Whether the body begins with the given ASCII text. */
+    public boolean bodyStartsWith(String ascii) {
+        boolean matches = bodyLength() >= ascii.length();
+        for (int i = 0; matches && i < ascii.length(); i++) {
+            matches = content().getByte(bodyStart() + i) == ascii.charAt(i);
         }
-        return does;
+        return matches;
     }
 
-    /** Text from the given place of the body up to its zero byte, or up to the end. */
-    public String text(int at) {
-        int from = body() + at;
+    /** The UTF-8 string from the given offset of the body up to its zero byte, or up to the end of the body. */
+    public String stringAt(int offset) {
+        int start = bodyStart() + offset;
         int end = content().writerIndex();
-        int zero = from >= end ? -1 : content().indexOf(from, end, (byte) 0);
-        return from >= end ? "" : content().toString(from, (zero < 0 ? end : zero) - from, StandardCharsets.UTF_8);
+        int zero = start >= end ? -1 : content().indexOf(start, end, (byte) 0);
+        return start >= end ? "" : content().toString(start, (zero < 0 ? end : zero) - start, StandardCharsets.UTF_8);
     }
 
     /**
-     * Whether what a server sends is as the protocol has it: a description of one column, a row of one value that fits,
-     * a completion or an error whose texts end. Guards against passing on what was spoilt on its way.
+     * Whether a server's message has the form that the protocol prescribes: a RowDescription of one column, a DataRow
+     * of one value whose length fits, a CommandComplete or ErrorResponse whose strings are terminated. Keeps messages
+     * that were corrupted on their way from being passed on. Other types are not checked.
      */
-    public boolean wellFormed() {
-        ByteBuf all = content();
-        int from = body();
-        int end = all.writerIndex();
-        int zero = from >= end ? -1 : all.indexOf(from, end, (byte) 0);
+    public boolean isWellFormed() {
+        ByteBuf content = content();
+        int start = bodyStart();
+        int end = content.writerIndex();
+        int zero = start >= end ? -1 : content.indexOf(start, end, (byte) 0);
         return switch (type) {
             case 'T' -> {
-                int name = bodyLength() < 2 ? -1 : all.indexOf(from + 2, end, (byte) 0);
-                yield name >= 0 && all.getShort(from) == 1 && end - name - 1 == COLUMN;
+                int nameEnd = bodyLength() < 2 ? -1 : content.indexOf(start + 2, end, (byte) 0);
+                yield nameEnd >= 0 && content.getShort(start) == 1 && end - nameEnd - 1 == COLUMN_DESCRIPTOR_BYTES;
             }
-            case 'D' -> bodyLength() >= 6 && all.getShort(from) == 1 && all.getInt(from + 2) == bodyLength() - 6;
-            case 'C' -> zero > from && zero == end - 1;
+            case 'D' -> bodyLength() >= 6 && content.getShort(start) == 1
+                    && content.getInt(start + 2) == bodyLength() - 6;
+            case 'C' -> zero > start && zero == end - 1;
             case 'E' -> {
-                int at = from;
-                while (at >= 0 && at < end && all.getByte(at) != 0) {
-                    at = all.indexOf(at + 1, end, (byte) 0) + 1;
-                    at = at == 0 ? -1 : at;
+                int position = start;
+                while (position >= 0 && position < end && content.getByte(position) != 0) {
+                    position = content.indexOf(position + 1, end, (byte) 0) + 1;
+                    position = position == 0 ? -1 : position;
                 }
-                yield at > from && at == end - 1;
+                yield position > start && position == end - 1;
             }
             default -> true;
         };
     }
 
-    /** The fields of an ErrorResponse or notice by their one-letter names. */
-    public Map<Character, String> fields() {
+    /** The fields of an ErrorResponse or NoticeResponse by their one-letter names. */
+    public Map<Character, String> errorFields() {
         Map<Character, String> fields = new HashMap<>();
-        int at = 0;
-        while (at < bodyLength() && content().getByte(body() + at) != 0) {
-            char name = (char) content().getByte(body() + at);
-            String value = text(at + 1);
+        int offset = 0;
+        while (offset < bodyLength() && content().getByte(bodyStart() + offset) != 0) {
+            char name = (char) content().getByte(bodyStart() + offset);
+            String value = stringAt(offset + 1);
             fields.put(name, value);
-            at += 2 + value.getBytes(StandardCharsets.UTF_8).length;
+            offset += 2 + value.getBytes(StandardCharsets.UTF_8).length;
         }
         return fields;
     }
 
-    /** The parameters of a startup message by name, the first sixteen. */
-    public Map<String, String> parameters() {
-        Map<String, String> all = new HashMap<>();
-        int at = Integer.BYTES;
-        while (all.size() < 16 && at < bodyLength() && content().getByte(body() + at) != 0) {
-            String name = text(at);
-            at += name.getBytes(StandardCharsets.UTF_8).length + 1;
-            String value = text(at);
-            at += value.getBytes(StandardCharsets.UTF_8).length + 1;
-            all.put(name, value);
+    /** The parameters of a StartupMessage by name; those after the first sixteen are left out. */
+    public Map<String, String> startupParameters() {
+        Map<String, String> parameters = new HashMap<>();
+        int offset = Integer.BYTES;
+        while (parameters.size() < 16 && offset < bodyLength() && content().getByte(bodyStart() + offset) != 0) {
+            String name = stringAt(offset);
+            offset += name.getBytes(StandardCharsets.UTF_8).length + 1;
+            String value = stringAt(offset);
+            offset += value.getBytes(StandardCharsets.UTF_8).length + 1;
+            parameters.put(name, value);
         }
-        return all;
+        return parameters;
     }
 }
--- a/src/main/java/reedquay/pg/FrameDecoder.java
+++ b/src/main/java/reedquay/pg/FrameDecoder.java
@@ -6,86 +6,94 @@
 import io.netty.handler.codec.CorruptedFrameException;
 import java.util.List;
 
-/** Cuts a stream of protocol version 3 into its messages, in either direction. */
+/**
+ * Splits a byte stream of the PostgreSQL protocol, version 3, into messages, in either direction. Throws
+ * CorruptedFrameException at an unknown type or an impossible length, and discards all further input then.
+ */
 public final class FrameDecoder extends ByteToMessageDecoder {
-    private static final int FIRST_LIMIT = 10_000; // what the protocol's own servers allow a first message
+    private static final int MAX_UNTYPED_BYTES = 10_000; // PostgreSQL's own limit for a startup message
 
-    private static final int HEAD_OF_ROW = 11; // type, length, number of columns, length of the first
+    /** Bytes of a DataRow before its first value: type, length, number of columns, length of the value. */
+    private static final int ONE_COLUMN_ROW_HEADER_BYTES = 11;
 
-    private final int limit;
-    private final String types;
-    private boolean first;
-    private boolean broken;
-    private long discarded;
+    private final int maxMessageBytes;
+    private final String allowedTypes;
+    private boolean expectsUntyped;
+    private boolean discarding;
+    private long discardedBytes;
 
-    /** first: the stream begins with messages that have no type; types: those that may come after that. */
-    public FrameDecoder(boolean first, String types, int limit) {
-        this.first = first;
-        this.types = types;
-        this.limit = limit;
+    /**
+     * expectsUntyped: whether the stream begins with messages that have no type; allowedTypes: the types that may come
+     * after that, a letter each; maxMessageBytes: the limit of a message's length field.
+     */
+    public FrameDecoder(boolean expectsUntyped, String allowedTypes, int maxMessageBytes) {
+        this.expectsUntyped = expectsUntyped;
+        this.allowedTypes = allowedTypes;
+        this.maxMessageBytes = maxMessageBytes;
     }
 
-    /** A stream from a client. */
-    public static FrameDecoder ofClient(int limit) {
-        return new FrameDecoder(true, "QXPBDECHSFpdcf", limit);
+    /** A decoder for what clients send. */
+    public static FrameDecoder forClient(int maxMessageBytes) {
+        return new FrameDecoder(true, "QXPBDECHSFpdcf", maxMessageBytes);
     }
 
-    /** A stream from a server. */
-    public static FrameDecoder ofServer(int limit) {
-        return new FrameDecoder(false, "RSKZTDCEINA123nstvGHWdcV", limit);
+    /** A decoder for what servers send. */
+    public static FrameDecoder forServer(int maxMessageBytes) {
+        return new FrameDecoder(false, "RSKZTDCEINA123nstvGHWdcV", maxMessageBytes);
     }
 
-    /** Whether something of a message has come that is not whole, or of none. */
-    public boolean begun() {
-        return broken || actualReadableBytes() > 0;
+    /** Whether part of a message has come that is not complete yet, or input is being discarded. */
+    public boolean hasPartialMessage() {
+        return discarding || actualReadableBytes() > 0;
     }
 
-    /** How many bytes wait for the rest of their message. */
-    public int waiting() {
-        return broken ? 0 : actualReadableBytes();
+    /** The number of bytes that wait for the rest of their message. */
+    public int bufferedBytes() {
+        return discarding ? 0 : actualReadableBytes();
     }
 
-    /** From here on all that comes is passed over; beyond what one message may have, the connection is closed. */
-    public void discard() {
-        broken = true;
+    /** Discards all further input; the connection is closed when that exceeds the limit of one message. */
+    public void discardInput() {
+        discarding = true;
     }
 
     @Override protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (broken) {
-            discarded += in.readableBytes();
+        if (discarding) {
+            discardedBytes += in.readableBytes();
             in.skipBytes(in.readableBytes());
-            if (discarded > limit) {
+            if (discardedBytes > maxMessageBytes) {
                 ctx.close();
             }
             return;
         }
-        int head = first ? 0 : 1;
-        if (in.readableBytes() < head + 4) {
+        int typeBytes = expectsUntyped ? 0 : 1;
+        if (in.readableBytes() < typeBytes + 4) {
             return;
         }
-        byte type = first ? Frame.FIRST : in.getByte(in.readerIndex());
-        int length = in.getInt(in.readerIndex() + head);
-        if (!first && types.indexOf(type) < 0) {
-            broken = true;
+        byte type = expectsUntyped ? Frame.UNTYPED : in.getByte(in.readerIndex());
+        int length = in.getInt(in.readerIndex() + typeBytes);
+        if (!expectsUntyped && allowedTypes.indexOf(type) < 0) {
+            discarding = true;
             throw new CorruptedFrameException("no message has the type " + (type & 0xff));
         }
-        if (length < (first ? 8 : 4) || length > (first ? FIRST_LIMIT : limit)) {
-            broken = true;
+        if (length < (expectsUntyped ? 8 : 4) || length > (expectsUntyped ? MAX_UNTYPED_BYTES : maxMessageBytes)) {
+            discarding = true;
             throw new CorruptedFrameException("a message cannot have the length " + length);
         }
-        // guards against waiting for a value whose own length already proves that it doesn't fit
-        boolean row = type == 'D' && !first && in.readableBytes() >= HEAD_OF_ROW;
-        if (row && in.getShort(in.readerIndex() + 5) == 1 && in.getInt(in.readerIndex() + 7) >= 0
-                && in.getInt(in.readerIndex() + 7) != length - HEAD_OF_ROW + 1) {
-            broken = true;
+        // checked early: there is no point in waiting for a value whose length already contradicts the message's length
+        boolean oneColumnRow = type == 'D' && !expectsUntyped && in.readableBytes() >= ONE_COLUMN_ROW_HEADER_BYTES;
+        if (oneColumnRow && in.getShort(in.readerIndex() + 5) == 1 && in.getInt(in.readerIndex() + 7) >= 0
+                && in.getInt(in.readerIndex() + 7) != length - ONE_COLUMN_ROW_HEADER_BYTES + 1) {
+            discarding = true;
             throw new CorruptedFrameException("a value does not fit its row");
         }
-        if (in.readableBytes() < head + length) {
+        if (in.readableBytes() < typeBytes + length) {
             return;
         }
-        Frame frame = new Frame(type, in.readRetainedSlice(head + length));
-        // after a request for encryption the real first message is still to come
-        first &= frame.code() == Frame.SSL || frame.code() == Frame.GSS;
+        Frame frame = new Frame(type, in.readRetainedSlice(typeBytes + length));
+        // after a request for encryption the startup message is still to come
+        expectsUntyped &= frame.startupCode() == Frame.SSL_REQUEST
+                || frame.startupCode() == Frame.GSS_ENCRYPTION_REQUEST;
         out.add(frame);
     }
 }
