--- a/src/main/java/reedquay/route/Router.java
+++ b/src/main/java/reedquay/route/Router.java
@@ -150,7 +150,7 @@
             this.recentNormalizedLatency = new LatencyHistogram(latencyUnit, RECENT_SAMPLES);
         }
 
-        /** Forgets the role, so that a read of any lag may ask for it again. */
+        /** Forgets the role, so that a read that accepts any lag may be sent there to learn it. */
         void resetRole() {
             role = Role.UNKNOWN;
             contacted = false;
@@ -163,11 +163,11 @@
         long refilledAt;
     }
 
-    /** A timer of an RPC; of an endpoint, for which the event is ignored; or of neither, to request a member list. */
+    /** A timer of an RPC; or of an endpoint, where the event is ignored; or of neither, to request the member list. */
     private record Timer(long expiresAt, long sequence, PendingRpc pending, Endpoint endpoint, Event event) { }
 
     private static final long NEVER = Long.MAX_VALUE, LONG_AGO = Long.MIN_VALUE;
-    private static final int MAX_RETRIES = 2; // call-outs after the first, as is the users' practice
+    private static final int MAX_RETRIES = 2; // call-outs after the first, by the users' established practice
     // the longest back-off and the longest interval between trials, in shortest soft deadlines
     private static final int MAX_BACKOFF_SOFT_DEADLINES = 32;
     private static final int INITIAL_CONCURRENCY_LIMIT = 2; // call-outs in flight at a member that is not known yet
@@ -178,10 +178,10 @@
     private final RoutingActions actions;
     private final Settings.Capabilities capabilities;
     private final long seed, tick, minLag, lagMargin, coldDuration, coldWindow, retryAfter;
-    private final long probeThreshold; // the age of a position from which on a probe is due
+    private final long probeThreshold; // the age of a position at which a probe is due
     private final long shortestSoftDeadline;
     private final boolean probesReportPositions, membersRejectStaleReads, gatewayRemembersTokens;
-    // prevents the loss of live members, which happens when a list calls them gone: their answers are better evidence
+    // prevents the loss of live members, which happens when a list names them as gone: answers are better evidence
     private final boolean goneMembersStayUsable;
     private final double coldShare, coldCapacityMultiple;
     private final double maxReadUtility; // of the bounded and session reads
@@ -194,7 +194,7 @@
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingLong(Timer::expiresAt).thenComparingLong(Timer::sequence));
-    private final Map<String, TokenBucket> tenantBuckets = new HashMap<>(); // never iterated: its order is not stable
+    private final Map<String, TokenBucket> tenantBuckets = new HashMap<>(); // not iterated: its order is not stable
     private final TokenBucket unlimitedBucket = new TokenBucket();
     // by method: clients' first attempts, and RPCs that were served within their soft deadline
     private final Map<Method, SuccessRate> successRates = new IdentityHashMap<>();
@@ -217,7 +217,7 @@
         for (Settings.Tenant tenant : settings.tenants()) {
             TokenBucket bucket = tenantBuckets.computeIfAbsent(tenant.name(), n -> new TokenBucket());
             bucket.tokensPerSecond = tenant.quotaPerSecond() / gatewayCount;
-            // not divided by the count itself: the smaller a gateway's part, the more its arrivals vary by chance
+            // divided by the root of the count only: the smaller a gateway's part, the more its arrivals vary by chance
             bucket.capacity = tenant.quotaPerSecond() / Math.sqrt(gatewayCount);
         }
         shortestSoftDeadline = settings.methods().stream().mapToLong(Method::softDeadline).filter(d -> d > 0).min()
@@ -327,9 +327,9 @@
     }
 
     /**
-     * Removes a member that is gone and has nothing in flight. Prevents state that grows for ever, which happens when
-     * members are replaced all day. One that was sent a call-out within three cold windows stays: rule 4 (the limit on
-     * cold members) divides the recent answers by the number of members, and some of these answers are its own.
+     * Removes a member that is gone and has nothing in flight. Prevents unbounded growth, which happens when members
+     * are replaced all day. One that was sent a call-out within three cold windows stays: rule 4 (the limit on cold
+     * members) divides the recent answers by the number of members, and some of these answers are its own.
      */
     private boolean removeIfGone(Endpoint endpoint) {
         boolean mayBeAlive = goneMembersStayUsable && endpoint.accepting
@@ -413,7 +413,7 @@
         Group group = pending.group;
         StringBuilder line = new StringBuilder(now < group.overloadedUntil ? "pressed" : "calm");
         line.append(group.primary == null ? ", no primary known" : "");
-        for (Endpoint endpoint : group.endpoints) { // the age of its position now, and at the time of the report
+        for (Endpoint endpoint : group.endpoints) { // with the age of its position, now and when it was reported
             line.append("; ").append(endpoint.member.id).append(endpoint == group.primary ? " primary " : " ");
             line.append(endpoint.role).append(!endpoint.accepting ? " closed" : endpoint.ejected ? " aside"
                     : now < endpoint.backoffUntil ? " rests"
@@ -432,15 +432,15 @@
         schedule(rpc.deadline - tick, (PendingRpc) rpc.routingState, null, Event.DEADLINE_REACHED);
     }
 
-    /** Keeps the newest position, and the newest role by the time at which it held. */
-    private void updatePositionAndRole(Endpoint endpoint, long position, Role role, long at) {
+    /** Keeps the newest position, and the role that was valid last. */
+    private void updatePositionAndRole(Endpoint endpoint, long position, Role role, long roleValidAt) {
         if (position != LoadReport.NO_POSITION) {
             endpoint.position = Math.max(endpoint.position, Math.min(position, now));
             endpoint.positionReportedAt = now;
         }
-        if (role != Role.UNKNOWN && at >= endpoint.roleKnownAt) {
+        if (role != Role.UNKNOWN && roleValidAt >= endpoint.roleKnownAt) {
             endpoint.role = role;
-            endpoint.roleKnownAt = at;
+            endpoint.roleKnownAt = roleValidAt;
             choosePrimary(endpoint.group);
         }
     }
@@ -519,11 +519,11 @@
                 .reduce(pending.mayHaveRunAt, Math::min);
     }
 
-    /** Ejects the member of the last call-out if it is silent; whether that call-out can move to another member. */
+    /** Ejects the last call-out's member if it is silent; returns whether that call-out can move to another member. */
     private boolean isSilentAndCanFailOver(PendingRpc pending) {
         Endpoint endpoint = (Endpoint) pending.rpc.callOuts.get(pending.rpc.callOuts.size() - 1).member.routingState;
         if (endpoint.inFlight > 0 && now - endpoint.silentSince >= silenceTimeout()) {
-            eject(endpoint); // it has had work for so long and has answered nothing, whatever the cause
+            eject(endpoint); // it had work for that long and answered nothing, whatever the cause
         }
         return endpoint.ejected && (capabilities.hedging() || capabilities.cancel())
                 && CAN_RETRY_NOW.test(this, pending);
@@ -593,15 +593,15 @@
             holdUntil = Math.min(holdUntil, pending.mayHaveRunAt + method.deduplicationWindow() - tick);
         }
         boolean waitsForPosition = pending.replicaRead && hasPossiblyFreshReplica(pending);
-        // prevents a pushback that comes late for nothing, which happens when the primary backs off for longer than the
-        // RPC could wait, or when no call-out is in flight whose answer could report a position
+        // prevents a needless delay of the pushback, which happens when the primary backs off for longer than the RPC
+        // can wait, or when no call-out is in flight whose answer could report a position
         boolean isFutile = !pending.replicaRead
                 ? pending.group.primary != null && pending.group.primary.backoffUntil > holdUntil
                 : waitsForPosition && !probesReportPositions
                 && pending.group.endpoints.stream().allMatch(e -> e.inFlight == 0);
         holdUntil = isFutile ? now : holdUntil;
-        // prevents a false state of overload, which happens at a gateway that gets few answers: the RPC waits for a
-        // position there, not for a member below its concurrency limit
+        // prevents a false overload state, which happens at a gateway that gets few answers: the RPC waits there for a
+        // position to be reported, not for a member below its concurrency limit
         if (waitsForPosition) {
             pending.group.held.addLast(pending);
             schedule(Math.min(holdUntil, latestUsefulSend(pending)), pending, null, Event.HOLD_EXPIRED);
@@ -642,8 +642,8 @@
         group.recheckNeeded = false;
     }
 
-    private void schedule(long at, PendingRpc pending, Endpoint endpoint, Event event) {
-        timers.add(new Timer(Math.max(at, now + 1), timerSequence++, pending, endpoint, event));
+    private void schedule(long expiresAt, PendingRpc pending, Endpoint endpoint, Event event) {
+        timers.add(new Timer(Math.max(expiresAt, now + 1), timerSequence++, pending, endpoint, event));
     }
 
     // ---- Target selection ----
@@ -692,8 +692,8 @@
     }
 
     /**
-     * Whether some usable replica may be fresh enough: its last reported position was, and is too old only by the time
-     * that has passed since, or none was ever reported.
+     * Whether some usable replica may be fresh enough although no report shows it: its last report is old enough for a
+     * probe to be due, and its position was fresh enough at that time; or it has not reported any.
      */
     private boolean hasPossiblyFreshReplica(PendingRpc pending) {
         long maxLag = maxLag(pending);
@@ -726,8 +726,8 @@
     }
 
     /**
-     * Draws a replica whose estimated lag is below the maximum, with a probability by its latency and load, or null.
-     * Also probes one replica whose position is old, drawn by the same weights.
+     * Selects a replica whose estimated lag is below the maximum, at random with weights by latency and load; null for
+     * none. Also probes one replica whose position is old, selected by the same weights.
      */
     private Endpoint selectReplica(PendingRpc pending, long maxLag) {
         boolean anyLag = maxLag == NEVER, hasHealthyReplica = false;
@@ -753,7 +753,7 @@
                 probeTarget = endpoint;
             }
             boolean alreadyTried = pending.wasSentTo(endpoint) && pending.group.endpoints.size() > 2;
-            // prevents wasted work, which happens when the client gives up before the usual answer
+            // prevents wasted work, which happens when the client gives up before the expected answer
             boolean inTime = now + expectedLatency < pending.rpc.deadline;
             boolean isEligible = (anyLag || estimatedLag(endpoint) < maxLag) && !isLoadedByOthers(endpoint)
                     && !alreadyTried && inTime;
@@ -764,19 +764,19 @@
         if (probeTarget != null) {
             probe(probeTarget);
         }
-        // an ejected primary gets a read as a trial request only where no replica is left; else it gets only writes as
-        // such, since these have no other target
+        // an ejected primary gets a read as its trial request only where no replica is left; otherwise only writes
+        // serve as its trial requests, since they have no other target
         if (!hasHealthyReplica && primary != null && mayReceiveTrial(primary)
                 && (anyLag || primary.role == Role.PRIMARY)) {
             return primary;
         }
-        // where no replica is left, the primary serves the reads; if only the list names it, it may be an old primary,
-        // whose data may be stale
+        // where no replica is left, the primary serves the reads; one that only the member list names may be a former
+        // primary, whose data may be stale
         boolean primaryIsEligible = primary != null && isUsable(primary) && (anyLag || primary.role == Role.PRIMARY);
         return !hasHealthyReplica && primaryIsEligible ? primary : selected;
     }
 
-    /** The lag that the data may have now for this read; NEVER where any lag will do. */
+    /** The greatest lag that this read allows now; NEVER where it accepts any lag. */
     private long maxLag(PendingRpc pending) {
         Consistency consistency = pending.rpc.method.consistency();
         if (consistency == Consistency.BOUNDED) {
@@ -801,7 +801,7 @@
 
     /**
      * The shortest time between two probes of a member. Prevents useless probes, which happen when a member's reports
-     * are old already when they come: the older the position that the last probe found, the longer the interval.
+     * are already old on arrival: the older the position that the last probe found, the longer the interval.
      */
     private long probeInterval(Endpoint endpoint) {
         long lastProbedLag = endpoint.position == LoadReport.NO_POSITION ? 0 : endpoint.probedAt - endpoint.position;
@@ -824,8 +824,8 @@
     private static boolean isHealthy(Endpoint endpoint) { return endpoint.accepting && !endpoint.ejected; }
 
     /**
-     * Whether an ejected member may get a half-open trial request, by whose answer it comes back. A write is such a
-     * request only at a primary that has been ejected for long, i.e. that no read has brought back.
+     * Whether an ejected member may get a half-open trial request, whose answer ends the ejection. A write serves as
+     * one only at a primary that has been ejected for long, i.e. whose ejection no read has ended.
      */
     private boolean mayReceiveTrial(Endpoint endpoint) {
         return endpoint.ejected && endpoint.trialAllowed && endpoint.accepting && isWithinColdBudget(endpoint);
@@ -848,10 +848,11 @@
      * Rule 4 (a cold member gets no more, from all gateways together, than the stated multiple of what it can do):
      * whether a member may get a call-out in this cold window; always true for one that is not cold. The budget of a
      * window is the member's share, by its age, of the larger of two peaks: what a primary (the busiest member) is seen
-     * to answer here, and three quarters of the multiple of what a member is seen to answer. It goes by answers, since
-     * under overload more is sent than can be answered. Unused budget is carried over, up to the share of three
-     * quarters of the multiple of the larger peak. A budget below one RPC is a probability, drawn anew in each window,
-     * of a half at most where nothing else is known: one RPC each from many gateways at once would be too many.
+     * to answer here, and three quarters of the multiple of what a member is seen to answer. The peaks count answers,
+     * since under overload more is sent than can be answered. Unused budget is carried over, up to the member's share
+     * of three quarters of the multiple of the larger peak. A budget below one RPC is a probability, drawn anew in each
+     * window, of a half at most where nothing else is known: one RPC each from many gateways at once would be too
+     * many.
      */
     private boolean isWithinColdBudget(Endpoint endpoint) {
         endpoint.recentSends.removeIf(at -> at <= now - coldWindow);
@@ -892,7 +893,7 @@
                 overallLatency.add(took);
                 endpoint.normalizedLatency.add(normalized);
                 endpoint.recentNormalizedLatency.add(normalized);
-                // prevents a lower limit for no gain, which happens when a member is slow without a queue
+                // prevents a needlessly low limit, which happens when a member is slow without a queue
                 boolean mayQueue = (endpoint.inFlight + 1) * gatewayCount > 2 * INITIAL_CONCURRENCY_LIMIT;
                 if (mayQueue && endpoint.normalizedLatency.mean(shortestSoftDeadline / 4)
                         > shortestSoftDeadline * 5 / 16) {
@@ -911,7 +912,7 @@
             case NO_CONNECTION -> eject(endpoint);
         }
         boolean hasNoAnswer = outcome == Outcome.CANCELLED || outcome == Outcome.TIMED_OUT;
-        // prevents latencies that are too low, which happens when only call-outs count that were answered
+        // prevents estimates that are too low, which happen when only answered call-outs are counted
         if (hasNoAnswer && took > endpoint.latency.mean(overallLatency.mean(shortestSoftDeadline / 4))) {
             endpoint.latency.add(took);
             endpoint.recentNormalizedLatency.add(normalized);
@@ -925,7 +926,7 @@
      * Lowers the concurrency limit below one call-out where answers come too late to be of use, and raises it again
      * with each answer in time. Prevents a lasting queue at a slow member, which happens when each of many gateways
      * keeps one call-out there. Below one, the gateway backs off between call-outs, so that it has one there for that
-     * part of the time; the lowest limit is this gateway's part of twice INITIAL_CONCURRENCY_LIMIT.
+     * fraction of the time; the lowest limit is this gateway's part of twice INITIAL_CONCURRENCY_LIMIT.
      */
     private void adjustFractionalLimit(Endpoint endpoint, long normalized, boolean answered) {
         if (normalized > shortestSoftDeadline * 3 / 4 && gatewayCount > 2 * INITIAL_CONCURRENCY_LIMIT) {
@@ -943,8 +944,8 @@
     }
 
     /**
-     * Reduces the concurrency limit to so many eighths, at most once in the member's mean latency. Prevents queues at
-     * the member, which happen when it gets more than it can serve.
+     * Reduces the concurrency limit to the given number of eighths, at most once per mean latency of the member.
+     * Prevents queues at the member, which happen when it gets more than it can serve.
      */
     private void reduceLimit(Endpoint endpoint, int eighths) {
         if (now - endpoint.latency.mean(shortestSoftDeadline / 4) >= endpoint.limitReducedAt) {
@@ -970,7 +971,7 @@
         if (endpoint.ejectionLogged) {
             actions.log("member " + endpoint.member.id + " answers again and is no longer ejected");
         }
-        // it may be cold without a list that says so
+        // it may be cold although no list says so
         endpoint.concurrencyLimit = endpoint.ejected ? Math.min(endpoint.concurrencyLimit, INITIAL_CONCURRENCY_LIMIT)
                 : endpoint.concurrencyLimit;
         endpoint.ejected = endpoint.ejectionLogged = false;
@@ -993,8 +994,8 @@
 
     /**
      * Probes an ejected member, or allows a trial request where there are no probes, and doubles the interval to the
-     * next time. Prevents trials that cost more than the member can give back, which happens since each gateway tries
-     * it on its own.
+     * next time. Prevents trials that cost more than the member is worth, which happens when each of many gateways
+     * tries it on its own.
      */
     private void startTrial(Endpoint endpoint) {
         if (endpoint.ejected && endpoint.accepting && now >= endpoint.nextTrialAt) {
