--- a/src/main/java/reedquay/core/CallOut.java
+++ b/src/main/java/reedquay/core/CallOut.java
@@ -4,7 +4,7 @@
 public final class CallOut {
     public final Rpc rpc;
     public final Member member;
-    /** When it was sent, in nanoseconds; updated when it goes out after waiting for a connection. */
+    /** When it was sent, in nanoseconds; updated when it is sent after waiting for a connection. */
     public long sentAt;
     /** Whether its outcome is known. */
     public boolean ended;
--- a/src/main/java/reedquay/core/LatencyHistogram.java
+++ b/src/main/java/reedquay/core/LatencyHistogram.java
@@ -7,16 +7,16 @@
     private static final int BINS = 8;
     private final int[] weights = new int[BINS];
     private final long unit;
-    private final int sampleLimit;
+    private final int maxTotalWeight;
     private int totalWeight;
 
-    /** unit: the upper end of the first bin, in nanoseconds. */
+    /** Creates an empty histogram; unit: the upper end of the first bin, in nanoseconds. */
     public LatencyHistogram(long unit) { this(unit, 32); }
 
-    /** halvingSamples: the number of further samples after which earlier ones count half. */
+    /** The same; halvingSamples: all weights are halved whenever they reach that of so many new samples. */
     public LatencyHistogram(long unit, int halvingSamples) {
         this.unit = Math.max(1, unit); // prevents a division by zero, which happens with a soft deadline of zero
-        this.sampleLimit = 2 * halvingSamples;
+        this.maxTotalWeight = 2 * halvingSamples;
     }
 
     /** Adds a sample in nanoseconds. */
@@ -24,13 +24,13 @@
         int bits = Long.SIZE - Long.numberOfLeadingZeros(Math.max(0, took - 1) / unit);
         weights[Math.min(BINS - 1, bits)] += 2;
         totalWeight += 2;
-        if (totalWeight >= sampleLimit) {
+        if (totalWeight >= maxTotalWeight) {
             Arrays.setAll(weights, i -> weights[i] / 2);
             totalWeight = Arrays.stream(weights).sum();
         }
     }
 
-    /** The mean, with the default value counted as half a sample, so that it is the mean of an empty histogram. */
+    /** The mean in nanoseconds; the default value counts as half a sample, so it is the mean of an empty histogram. */
     public long mean(long defaultValue) {
         long sum = defaultValue;
         for (int i = 0; i < BINS; i++) {
@@ -39,7 +39,7 @@
         return sum / (totalWeight + 1);
     }
 
-    /** The upper end of the bin below which the given fraction of the samples lies; the default value for none. */
+    /** The upper end of the bin in which the quantile lies, in nanoseconds; the default value where it is empty. */
     public long quantile(double fraction, long defaultValue) {
         int remaining = (int) Math.ceil(totalWeight * fraction);
         for (int i = 0; i < BINS && totalWeight > 0; i++) {
--- a/src/main/java/reedquay/core/LoadReportParser.java
+++ b/src/main/java/reedquay/core/LoadReportParser.java
@@ -10,7 +10,10 @@
         this.epoch = epoch;
     }
 
-    /** A position from its milliseconds since the epoch. Members round it down, but that of a commit up. */
+    /**
+     * Converts a position from milliseconds since the epoch to nanoseconds. Members round a position down, but round
+     * that of a commit up, so one millisecond is subtracted from the latter.
+     */
     public long position(long millis, boolean commit) {
         return epoch + (commit ? millis - 1 : millis) * 1_000_000;
     }
--- a/src/main/java/reedquay/core/Method.java
+++ b/src/main/java/reedquay/core/Method.java
@@ -2,7 +2,8 @@
 
 /**
  * A method of RPCs as the settings describe it; times in nanoseconds. maxAge: the greatest age of the data for a
- * bounded read; lateUtilityShare: the part of the utility that an answer has after the soft deadline.
+ * bounded read; utility: the value of an answer up to the soft deadline; lateUtilityShare: the part of it that an
+ * answer has after that.
  */
 public record Method(String name, Consistency consistency, long maxAge, long softDeadline, long deadline,
         double utility, double lateUtilityShare, RetrySafety retrySafety, DeduplicationScope deduplicationScope,
@@ -10,7 +11,7 @@
     /** The consistency that a method needs: a write, or how recent the data of a read must be. */
     public enum Consistency { WRITE, FRESH, SESSION, BOUNDED, ANY }
 
-    /** Whether a second run of the same RPC is harmless; tokened: repeats are dropped by a token within a time. */
+    /** Whether a second run of the same RPC is harmless; TOKENED: members drop repeats by a token for a time. */
     public enum RetrySafety { IDEMPOTENT, TOKENED, NON_IDEMPOTENT }
 
     /** Among which members repeats of a tokened RPC are dropped. */
--- a/src/main/java/reedquay/core/Outcome.java
+++ b/src/main/java/reedquay/core/Outcome.java
@@ -1,8 +1,8 @@
 package reedquay.core;
 
 /**
- * The outcome of a call-out or a probe. FULL: the member rejected it for want of capacity; MISS: the member is not the
- * primary or lags too far. The names are written out in counters and trace lines.
+ * The outcome of a call-out or a probe. FULL: the member rejected it since it has no capacity left; MISS: the member is
+ * not the primary or lags too far. The names are written out in counters and trace lines.
  */
 public enum Outcome {
     OK(false), ERROR(false), FULL(true), TIMED_OUT(false), NO_CONNECTION(true), RESET(false),
--- a/src/main/java/reedquay/core/RoutingActions.java
+++ b/src/main/java/reedquay/core/RoutingActions.java
@@ -26,10 +26,10 @@
     /** Drops all state of a member that is gone and has nothing in flight; if listed again, it is a new member. */
     void forgetMember(Member member);
 
-    /** Has an empty batch run after so many nanoseconds; replaces an earlier wake-up. */
+    /** Schedules an empty batch after a delay in nanoseconds; replaces an earlier wake-up. */
     void scheduleWakeUp(long delay);
 
-    /** Requests the member list, where it does not come by itself. */
+    /** Requests the member list, where it is sent on request only. */
     void requestMemberList();
 
     /** Writes a line to the log. */
--- a/src/main/java/reedquay/core/Rpc.java
+++ b/src/main/java/reedquay/core/Rpc.java
@@ -8,19 +8,19 @@
     public final long id;
     public final int group;
     public final String session;
-    /** When its client gives up, or an earlier shutdown of this gateway, in nanoseconds; only the front sets it. */
+    /** When its client gives up, in nanoseconds, or an earlier time at a shutdown of this gateway; set by the front. */
     public long deadline;
-    /** Whether it is a client's retry; a stage clears this for a retry at the time that it gave the client. */
+    /** Whether it is a client's retry; a stage clears this where the client waited as its retry-after asked. */
     public boolean retry;
-    /** The age of the session's last write at arrival, by the token sent, in nanoseconds; 0 where there is none. */
+    /** How long before arrival the session's last write was, in nanoseconds, by the client's token; 0 without one. */
     public final long sessionTokenAge;
     public final String tenant;
     /** Null where the settings do not name the method. */
     public final Method method;
     public final List<CallOut> callOuts = new ArrayList<>(2);
-    /** Identifies the client, by what the front tells clients apart; null where only the tenant is known. */
+    /** The id by which the front distinguishes clients; null where only the tenant is known. */
     public String clientId;
-    /** The own state of a stage before the engine; only that stage reads it. */
+    /** A stage's own state of this RPC; only the stage that set it reads it. */
     public Object stageState;
     /** Whether the final answer has been given, or the client has left. */
     public boolean ended;
--- a/src/main/java/reedquay/core/Settings.java
+++ b/src/main/java/reedquay/core/Settings.java
@@ -10,22 +10,23 @@
     public record Tenant(String name, double quotaPerSecond) { }
 
     /**
-     * What the gateway may do. hedging: send a call-out while an earlier one is in flight; maxCallOuts: for each RPC;
-     * memberListOnRequest: the member list comes on request instead of by itself.
+     * What the gateway may do. hedging: send a call-out while an earlier one is in flight; maxCallOuts: per RPC;
+     * memberListOnRequest: the member list is sent on request only.
      */
     public record Capabilities(boolean probes, boolean peerMessages, boolean cancel, boolean hedging,
             boolean retryAfter, long maxRetryAfter, int maxCallOuts, long connectTimeout,
             boolean memberListOnRequest) { }
 
     /**
-     * The figures of the rules. A cold member's share of a warm one's capacity rises from coldShare to one within
-     * coldDuration; in each coldWindow it gets at most coldCapacityMultiple times that. goneMembersStayUsable: a member
-     * that is listed as gone is used on, unless it was listed as draining.
+     * The limits on cold, draining and departed members. A cold member's share of a warm one's capacity rises from
+     * coldShare to one within coldDuration; in each coldWindow it gets at most coldCapacityMultiple times that.
+     * drainGrace: how soon a reported drain must take effect; goneMembersStayUsable: a member that is listed as gone
+     * stays in use, unless it was listed as draining.
      */
     public record Rules(double coldShare, long coldDuration, double coldCapacityMultiple, long coldWindow,
             long drainGrace, long answerGrace, long memberListInterval, boolean goneMembersStayUsable) { }
 
-    /** Where positions come from, who keeps session tokens, and whether members reject reads if they lag too far. */
+    /** Where positions come from, who keeps session tokens, and whether members reject reads when they lag too far. */
     public record PositionSources(boolean inAnswers, boolean inAnswerReports, boolean inProbes,
             boolean gatewayRemembersTokens, boolean membersRejectStaleReads) { }
 
--- a/src/main/java/reedquay/core/SettingsReader.java
+++ b/src/main/java/reedquay/core/SettingsReader.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the settings, for all fronts, from a map of paths to values; unknown paths are ignored. */
+/** Reads the settings from a map of paths to values, for all fronts; unknown paths are ignored. */
 public final class SettingsReader {
     private final Map<String, String> values;
 
--- a/src/main/java/reedquay/core/Stage.java
+++ b/src/main/java/reedquay/core/Stage.java
@@ -21,12 +21,12 @@
         return this;
     }
 
-    /** A table of statistics by its name, the column names as its first row; null if no stage has one of that name. */
+    /** The statistics table of that name, with the column names as first row; null if no stage has one. */
     public List<String[]> statisticsTable(String name) {
         return next instanceof Stage nextStage ? nextStage.statisticsTable(name) : null;
     }
 
-    /** Adds the counters of this stage and the next ones; the names begin with the stage's own. */
+    /** Adds the counters of this stage and the next ones; each name begins with the name of its stage. */
     public void addCounters(Map<String, Long> counters) {
         if (next instanceof Stage nextStage) {
             nextStage.addCounters(counters);
--- a/src/main/java/reedquay/core/SuccessRate.java
+++ b/src/main/java/reedquay/core/SuccessRate.java
@@ -1,6 +1,6 @@
 package reedquay.core;
 
-/** A success rate over recent attempts; attempts and successes are halved every so many attempts. */
+/** A success rate over recent attempts; both counts are halved whenever the attempts reach HALVING_ATTEMPTS. */
 public final class SuccessRate {
     private static final int HALVING_ATTEMPTS = 64;
     private int attempts, successes;
