--- a/src/main/java/reedquay/members/MembershipReconciler.java
+++ b/src/main/java/reedquay/members/MembershipReconciler.java
@@ -15,7 +15,7 @@
  * connection, clock or thread: a front calls it with each event and its time, and carries out its Actions.
  */
 public final class MembershipReconciler {
-    /** What the reconciler has its front do; carried out in the order of the calls. */
+    /** The actions of the reconciler; the front carries them out in the order of the calls. */
     public interface Actions {
         /** Connects to the watch's address and requests all changes after generation(). */
         void openWatch(Watch watch);
@@ -23,7 +23,7 @@
         /** Closes the watch's connection; nothing more is read from it. */
         void closeWatch(Watch watch);
 
-        /** Has the front call reopenTimerExpired() after the delay, in nanoseconds. */
+        /** Schedules a call of reopenTimerExpired() after the delay, in nanoseconds. */
         void scheduleReopen(long delay);
 
         /**
@@ -35,12 +35,13 @@
         /** Adds one to the counter of that name. */
         void incrementCounter(String name);
 
+        /** Writes a line to the log. */
         void log(String message);
     }
 
     /**
-     * What a list says about one member. startedAt: start of its process in nanoseconds, 0 if it is unknown or long
-     * ago. attributes: used by the front alone.
+     * What a list says about one member. startedAt: when its process started, in nanoseconds, 0 if that is unknown or
+     * long ago; attributes: used by the front alone.
      */
     public record Entry(String id, Phase phase, long startedAt, Object attributes) { }
 
@@ -54,7 +55,7 @@
         REQUESTED("asked"),
         /** Receives the list from the current address. */
         ACTIVE("followed"),
-        /** The current address is another; what still arrives is read. */
+        /** Connected to an address that is no longer the current one; what still arrives is read. */
         SUPERSEDED("leaving"),
         CLOSED("ended");
 
@@ -66,6 +67,7 @@
         }
     }
 
+    /** The inputs of a watch's state machine. */
     enum Input { CONNECTED, LINE_RECEIVED, ADDRESS_LEFT, ADDRESS_RESTORED, FAILED, TIMED_OUT }
 
     private record Transition(State from, Input input, BiPredicate<MembershipReconciler, Watch> condition, State to,
@@ -81,7 +83,7 @@
         new Transition(State.CONNECTING, Input.ADDRESS_LEFT, ALWAYS, State.CLOSED, MembershipReconciler::closeWatch),
         new Transition(State.REQUESTED, Input.LINE_RECEIVED, ALWAYS, State.ACTIVE,
                 MembershipReconciler::resetReopenDelay),
-        // stays open: the agent's answer may be on its way
+        // stays open: the agent's answer may be in transit
         new Transition(State.REQUESTED, Input.ADDRESS_LEFT, ALWAYS, State.SUPERSEDED,
                 MembershipReconciler::limitWatches),
         new Transition(State.ACTIVE, Input.LINE_RECEIVED, ALWAYS, State.ACTIVE, MembershipReconciler::resetReopenDelay),
@@ -150,16 +152,16 @@
     private long now, reopenDelay;
     private boolean listReceived, reopenScheduled, closed;
 
-    /** For agents whose changes bind the gateway only once received: the reopen delay grows up to one heartbeat. */
+    /** For agents whose changes bind the gateway only once received: the reopen delay grows to one heartbeat. */
     public MembershipReconciler(long heartbeatInterval, Actions actions) {
         this(heartbeatInterval, 2 * heartbeatInterval, actions);
     }
 
     /**
-     * heartbeatInterval: nanoseconds between two heartbeats of an agent; a watch that receives nothing for three of
-     * them has timed out. drainGrace: nanoseconds within which a drain must take effect. A drain that an agent on this
-     * machine knows of binds the gateway whether or not the agent was asked, so the delay between two attempts to open
-     * a watch is at most half of the grace.
+     * Creates a reconciler. heartbeatInterval: nanoseconds between two heartbeats of an agent; a watch that receives
+     * nothing for three of them has timed out. drainGrace: nanoseconds within which a drain must take effect. A drain
+     * that an agent on this machine knows of binds the gateway whether or not the agent was asked, so the delay between
+     * two attempts to open a watch is at most half of the grace.
      */
     public MembershipReconciler(long heartbeatInterval, long drainGrace, Actions actions) {
         this.heartbeatInterval = heartbeatInterval;
@@ -287,7 +289,7 @@
         }
     }
 
-    /** Called for lines that were received: a connection that opens but delivers nothing does not reset the delay. */
+    /** Called when a line is received: a connection that opens but delivers nothing does not reset the delay. */
     private void resetReopenDelay(Watch watch) { reopenDelay = initialReopenDelay; }
 
     private void closeWatch(Watch watch) {
@@ -347,7 +349,7 @@
         listReceived = true;
         updateOwnMembers(watch, update);
         if (updateGeneration >= generation) {
-            // Changes refer to this agent's own list. If another watch set the list in force, the own list is applied.
+            // changes refer to this agent's own list, all of which is applied if another watch set the list in force
             boolean useOwnMembers = !wasLatest && !update.full && watch.ownMembers != null;
             watch.behindSince = NEVER;
             generation = updateGeneration;
@@ -391,7 +393,7 @@
     private void putMember(Entry entry, long memberGeneration, List<Entry> applied) {
         applied.add(entry);
         if (entry.phase == Phase.GONE) {
-            KnownMember previous = members.remove(entry.id); // an older update that names it is ignored: it is unknown
+            KnownMember previous = members.remove(entry.id); // later outdated updates ignore it as unknown
             recordDeparture(previous == null ? entry : previous.entry);
         } else {
             members.put(entry.id, new KnownMember(entry, memberGeneration));
@@ -406,9 +408,9 @@
     }
 
     /**
-     * Applies, of an update older than the list in force, newer processes of known members and each drain or end that
-     * no newer generation has undone. Prevents calls to a member that one agent reported as draining, which happens
-     * when another agent with a higher generation had no reason to name that member.
+     * Applies the part of an outdated update that still holds: newer processes of known members, and each drain or
+     * departure that no newer generation has undone. Prevents calls to a member that one agent reported as draining,
+     * which happen when another agent with a higher generation had no reason to name that member.
      */
     private void applyOlderUpdate(ListUpdate update, long updateGeneration) {
         List<Entry> applied = new ArrayList<>();
