--- a/src/main/java/reedquay/pg/Frame.java
+++ b/src/main/java/reedquay/pg/Frame.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 
 /**
- * One message of the PostgreSQL protocol, version 3, as the bytes that came. content() is the whole message, its type
- * and length included; offsets in the body count from behind these.
+ * One message of the PostgreSQL protocol, version 3, as the bytes received. content() is the whole message, its type
+ * and length included; the body, to which offsets refer, begins after these.
  */
 public final class Frame extends DefaultByteBufHolder {
-    /** Stands for the type of a message that has none: the first ones that a client sends on a connection. */
+    /** The type of a message without one: the first messages that a client sends on a connection. */
     public static final byte UNTYPED = 0;
-    /** Codes that untyped messages begin with. */
+    /** Protocol version or request code at the start of an untyped message. */
     public static final int PROTOCOL_VERSION_3 = 196608, SSL_REQUEST = 80877103, GSS_ENCRYPTION_REQUEST = 80877104,
             CANCEL_REQUEST = 80877102;
     private static final int HEADER_BYTES = 5; // type and length
-    private static final int COLUMN_DESCRIPTOR_BYTES = 18; // of a RowDescription, behind the column's name
+    private static final int COLUMN_DESCRIPTOR_BYTES = 18; // of a RowDescription, after the column's name
 
     public final byte type;
 
@@ -65,8 +65,8 @@
 
     /**
      * Whether a server's message has the form that the protocol prescribes: a RowDescription of one column, a DataRow
-     * of one value whose length fits, a CommandComplete or ErrorResponse whose strings are terminated. Keeps messages
-     * that were corrupted on their way from being passed on. Other types are not checked.
+     * of one value whose length fits, a CommandComplete or ErrorResponse whose strings are terminated. Prevents
+     * passing on a message that was corrupted on its way. Other types are not checked.
      */
     public boolean isWellFormed() {
         ByteBuf content = content();
--- a/src/main/java/reedquay/pg/FrameDecoder.java
+++ b/src/main/java/reedquay/pg/FrameDecoder.java
@@ -8,7 +8,7 @@
 
 /**
  * Splits a byte stream of the PostgreSQL protocol, version 3, into messages, in either direction. Throws
- * CorruptedFrameException at an unknown type or an impossible length, and discards all further input then.
+ * CorruptedFrameException at an unknown type or an impossible length, and then discards all further input.
  */
 public final class FrameDecoder extends ByteToMessageDecoder {
     private static final int MAX_UNTYPED_BYTES = 10_000; // PostgreSQL's own limit for a startup message
@@ -42,17 +42,17 @@
         return new FrameDecoder(false, "RSKZTDCEINA123nstvGHWdcV", maxMessageBytes);
     }
 
-    /** Whether part of a message has come that is not complete yet, or input is being discarded. */
+    /** Whether part of an incomplete message has been received, or input is being discarded. */
     public boolean hasPartialMessage() {
         return discarding || actualReadableBytes() > 0;
     }
 
-    /** The number of bytes that wait for the rest of their message. */
+    /** The number of bytes received of an incomplete message; 0 while input is being discarded. */
     public int bufferedBytes() {
         return discarding ? 0 : actualReadableBytes();
     }
 
-    /** Discards all further input; the connection is closed when that exceeds the limit of one message. */
+    /** Discards all further input; closes the connection when that exceeds the limit of one message. */
     public void discardInput() {
         discarding = true;
     }
@@ -91,7 +91,7 @@
             return;
         }
         Frame frame = new Frame(type, in.readRetainedSlice(typeBytes + length));
-        // after a request for encryption the startup message is still to come
+        // after a request for encryption the startup message still follows
         expectsUntyped &= frame.startupCode() == Frame.SSL_REQUEST
                 || frame.startupCode() == Frame.GSS_ENCRYPTION_REQUEST;
         out.add(frame);
--- a/src/main/java/reedquay/pg/Messages.java
+++ b/src/main/java/reedquay/pg/Messages.java
@@ -8,7 +8,7 @@
 public final class Messages {
     private Messages() { }
 
-    /** Writes the type and a place for the length; returns the index of that place, for endMessage. */
+    /** Writes the type and a placeholder for the length; returns the placeholder's index, for endMessage. */
     private static int beginMessage(ByteBuf out, char type) {
         out.writeByte(type);
         out.writeInt(0);
@@ -141,15 +141,15 @@
         return out;
     }
 
-    /** A Query with the frame's body, whose bytes from (inclusive) to to (exclusive) are replaced by a number. */
-    public static ByteBuf query(ByteBufAllocator allocator, Frame frame, int from, int to, long number) {
+    /** A Query with the frame's body, whose bytes from start (inclusive) to end (exclusive) become the number. */
+    public static ByteBuf query(ByteBufAllocator allocator, Frame frame, int start, int end, long number) {
         String digits = Long.toString(number);
         ByteBuf content = frame.content();
-        int length = frame.bodyLength() - (to - from) + digits.length();
-        ByteBuf header = allocator.buffer(5 + from + digits.length());
-        header.writeByte('Q').writeInt(4 + length).writeBytes(content, frame.bodyStart(), from);
+        int length = frame.bodyLength() - (end - start) + digits.length();
+        ByteBuf header = allocator.buffer(5 + start + digits.length());
+        header.writeByte('Q').writeInt(4 + length).writeBytes(content, frame.bodyStart(), start);
         header.writeCharSequence(digits, StandardCharsets.US_ASCII);
-        ByteBuf rest = content.retainedSlice(frame.bodyStart() + to, frame.bodyLength() - to);
+        ByteBuf rest = content.retainedSlice(frame.bodyStart() + end, frame.bodyLength() - end);
         return allocator.compositeBuffer(2).addComponents(true, header, rest);
     }
 }
