--- a/src/main/java/reedquay/net/ClientSession.java
+++ b/src/main/java/reedquay/net/ClientSession.java
@@ -2,9 +2,9 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.handler.codec.DecoderException;
 import java.net.InetSocketAddress;
@@ -22,13 +22,13 @@
 /** One client's connection: handles its messages in order and has at most one RPC in flight. Times in nanoseconds. */
 final class ClientSession extends ChannelInboundHandlerAdapter {
     /**
-     * AWAITING_READINESS: an empty query waits until the gateway is ready; IN_FLIGHT: an RPC is; SKIPPING_TO_SYNC:
-     * after an extended-query message, all messages up to the client's Sync are skipped.
+     * The states of a session. AWAITING_READINESS: an empty query waits until the gateway is ready; IN_FLIGHT: an RPC
+     * is in flight; SKIPPING_TO_SYNC: after an extended-query message, all messages up to the Sync are skipped.
      */
     private enum State { STARTUP, IDLE, AWAITING_READINESS, IN_FLIGHT, SKIPPING_TO_SYNC, CLOSING }
 
-    /** Messages handled for one client before the others have their turn. */
-    private static final int MESSAGES_PER_TURN = 16;
+    /** How many messages of one client are handled before other clients are served. */
+    private static final int MAX_MESSAGES_BEFORE_YIELD = 16;
 
     final FrameDecoder decoder = FrameDecoder.forClient(Limits.MAX_MESSAGE_BYTES);
     private final Gateway gateway;
@@ -41,14 +41,14 @@
     private Statement statement;
     private boolean draining;
     private boolean registered;
-    private boolean commandReceived; // a message has come after the startup
+    private boolean commandReceived; // a message was received after the startup
     private long connectedAt;
     private String inputError; // why its input is malformed; sent once all earlier messages are answered
-    /** The last time without an incomplete message; until the startup has come, the time of connecting. */
+    /** The last time at which no message was incomplete; until the startup message, the time of connecting. */
     private long lastProgressAt;
-    private int partialBytes; // bytes of a message that has not come completely
-    private int messagesThisTurn;
-    private boolean turnScheduled;
+    private int partialBytes; // bytes received of an incomplete message
+    private int messagesSinceYield;
+    private boolean resumeScheduled;
     private Map<String, String> startupParameters; // null where no client identifier is configured
     private String clientAddress;
 
@@ -101,14 +101,15 @@
         processQueue();
     }
 
-    /** Handles queued messages until an RPC is in flight, the client stops reading its answers, or its turn is over. */
+    /** Handles queued messages until an RPC is in flight, the client stops reading, or others are to be served. */
     private void processQueue() {
         while (!queued.isEmpty() && state != State.IN_FLIGHT && state != State.AWAITING_READINESS
                 && (channel.isWritable() || state == State.CLOSING)) {
-            if (++messagesThisTurn > MESSAGES_PER_TURN) { // hundreds of commands at once must not delay other clients
-                if (!turnScheduled) {
-                    turnScheduled = true;
-                    channel.eventLoop().execute(this::nextTurn);
+            // hundreds of commands at once must not delay other clients
+            if (++messagesSinceYield > MAX_MESSAGES_BEFORE_YIELD) {
+                if (!resumeScheduled) {
+                    resumeScheduled = true;
+                    channel.eventLoop().execute(this::resumeAfterYield);
                 }
                 gateway.setIdle(this, false);
                 return;
@@ -126,9 +127,9 @@
             sendFatalError("08P01", inputError);
         }
         if (state == State.CLOSING) {
-            return; // whatever still comes is discarded
+            return; // further input is discarded
         }
-        // not read from: a client that pipelines too much or reads no answers, and all clients while memory is short
+        // reading is paused for a client that pipelines too much or reads no answers, and for all while memory is short
         channel.config().setAutoRead(queuedBytes <= dispatcher.limits.maxQueuedBytes
                 && !dispatcher.limits.isMemoryFull());
         if (draining && state == State.IDLE && queued.isEmpty()) {
@@ -137,9 +138,9 @@
         gateway.setIdle(this, state == State.IDLE && queued.isEmpty());
     }
 
-    private void nextTurn() {
-        turnScheduled = false;
-        messagesThisTurn = 0;
+    private void resumeAfterYield() {
+        resumeScheduled = false;
+        messagesSinceYield = 0;
         resume();
     }
 
@@ -149,7 +150,7 @@
      */
     void sweep(long now, long lingerTimeout) {
         if (state == State.CLOSING) {
-            // without an input error the longer time holds: a last answer may still be on its way
+            // without an input error the longer timeout applies, since a last answer may still be in transit
             if (now - lastProgressAt >= (inputError == null ? Limits.UNUSED_TIMEOUT_NANOS : lingerTimeout)) {
                 channel.close();
             }
@@ -169,15 +170,15 @@
         return connectedAt;
     }
 
-    /** Whether it is not read from because the gateway's memory for messages is full. */
+    /** Whether reading is paused because the gateway's memory for messages is full. */
     boolean isPausedForMemory() {
         return !channel.config().isAutoRead() && queuedBytes <= dispatcher.limits.maxQueuedBytes
                 && state != State.CLOSING;
     }
 
     /**
-     * Reads nothing more from this client, whose input is malformed. The error is sent once everything that came before
-     * is answered, since an RPC in flight still gets its answer.
+     * Reads nothing more from this client, whose input is malformed. The error is sent once all earlier messages are
+     * answered, since an RPC in flight still gets its answer.
      */
     void rejectInput(String error) {
         if (inputError == null && state != State.CLOSING) {
@@ -309,10 +310,10 @@
         state = State.IN_FLIGHT;
         rpc = dispatcher.acceptRpc(this, statement, gateway.clientIdentifier());
         Rpc started = rpc;
-        dispatcher.submitInput(d -> d.rpcArrived(started));
+        dispatcher.submitInput(engine -> engine.rpcArrived(started));
     }
 
-    /** An id that no other connection has while this one is open. */
+    /** The id of the connection, unique among those that are open. */
     String connectionId() {
         return channel.id().asShortText();
     }
@@ -333,7 +334,7 @@
         return statement;
     }
 
-    /** Sends the final answer: the member's messages as they came. */
+    /** Sends the final answer: the messages of the member, unchanged. */
     void sendResult(List<Frame> frames) {
         frames.forEach(f -> channel.write(f.content().retain()));
         finishRpc(Messages.readyForQuery(buffer()));
@@ -348,7 +349,7 @@
         channel.writeAndFlush(response);
         clearRpc();
         state = State.IDLE;
-        // prevents an RPC from starting within the batch of decisions that answered the previous one
+        // prevents an RPC from starting within the batch in which the previous one was answered
         dispatcher.runAfterBatch(this::resume);
     }
 
