--- a/src/main/java/reedquay/net/Dispatcher.java
+++ b/src/main/java/reedquay/net/Dispatcher.java
@@ -17,15 +17,15 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import reedquay.core.CallOut;
-import reedquay.core.RoutingEngine;
-import reedquay.core.RoutingActions;
 import reedquay.core.ListedMember;
+import reedquay.core.LoadReport;
+import reedquay.core.LoadReportParser;
 import reedquay.core.Member;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.LoadReport;
-import reedquay.core.LoadReportParser;
 import reedquay.core.Role;
+import reedquay.core.RoutingActions;
+import reedquay.core.RoutingEngine;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
 import reedquay.core.SettingsReader;
@@ -97,7 +97,7 @@
 
     /**
      * Runs an input as a batch of its own. An input that an action submits while a batch is running becomes the next
-     * batch. The tasks given to runAfterBatch run behind the last batch.
+     * batch. The tasks given to runAfterBatch run after the last batch.
      */
     void submitInput(Consumer<RoutingEngine> input) {
         pendingInputs.addLast(input);
@@ -113,7 +113,7 @@
             inBatch = false;
         }
         if (runningAfterBatchTasks) {
-            return; // prevents a stack overflow: each pipelined RPC of a client would nest one call deeper
+            return; // prevents a stack overflow, which happens when each pipelined RPC nests one call deeper
         }
         runningAfterBatchTasks = true;
         try {
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Runs the task behind the current or next batch, so that the engine is notified of an answer first. */
+    /** Runs the task after the current or next batch, so that the engine is notified of an answer first. */
     void runAfterBatch(Runnable task) {
         afterBatchTasks.addLast(task);
     }
@@ -157,25 +157,25 @@
     }
 
     /**
-     * Brings the deadline of each RPC, in flight or to come, forward to the given time at the latest: at a shutdown
-     * every RPC has its answer before the process is killed.
+     * Limits the deadline of each RPC, in flight or still to arrive, to the given time, so that at a shutdown every
+     * RPC is answered before the process is killed.
      */
     void answerAllBy(long deadline) {
         answerDeadline = deadline;
         for (Rpc rpc : List.copyOf(inFlightById.values())) {
             if (rpc.deadline > deadline) { // its client would wait for longer than this process runs
                 rpc.deadline = deadline;
-                submitInput(d -> d.deadlineShortened(rpc));
+                submitInput(engine -> engine.deadlineShortened(rpc));
             }
         }
     }
 
-    /** Registers an RPC that was read completely; the caller submits it to the engine. */
+    /** Registers an RPC whose message is complete; the caller submits it to the engine. */
     Rpc acceptRpc(ClientSession session, Statement statement, ClientIdentifier identifier) {
         long now = clock.now();
         long minPosition = statement.minPositionMillis == 0 ? 0 : reports.position(statement.minPositionMillis, false);
         long tokenAge = statement.minPositionMillis == 0 ? 0 : Math.max(1, now - minPosition); // 0 means no token
-        Method method = methods.get(statement.method); // its deadline bounds the wait that the client states
+        Method method = methods.get(statement.method); // its deadline limits the time that the client says it will wait
         Rpc rpc = new Rpc(statement.id, statement.group, statement.session,
                 Math.min(now + Math.min(statement.waitMillis * 1_000_000, method.deadline()), answerDeadline),
                 statement.retry, tokenAge, statement.tenant, method);
@@ -195,24 +195,24 @@
             inFlightById.remove(rpc.id);
             counters.add("rpc.clientgone");
             trace.rpcEnded(rpc, "left by its client", "");
-            submitInput(d -> d.clientGone(rpc));
+            submitInput(engine -> engine.clientGone(rpc));
         }
     }
 
     void membersListed(ListedMember.ListKind kind, List<ListedMember> entries) {
         trace.membersListed(entries);
-        submitInput(d -> d.membersListed(kind, entries));
+        submitInput(engine -> engine.membersListed(kind, entries));
     }
 
     Pool pool(String id) {
-        return pools.computeIfAbsent(id, i -> {
-            Pool pool = new Pool(this, new Member(i), bootstrap);
+        return pools.computeIfAbsent(id, memberId -> {
+            Pool pool = new Pool(this, new Member(memberId), bootstrap);
             pool.member.frontState = pool;
             return pool;
         });
     }
 
-    /** Ends a request whose response has come completely. */
+    /** Ends a request whose response is complete. */
     void responseReceived(MemberRequest request, MemberConnection.Response response) {
         Outcome outcome = response.sqlState == null ? Outcome.OK : switch (response.sqlState) {
             case "25006", "72000" -> Outcome.MISS;
@@ -248,7 +248,7 @@
             counters.add("probe." + outcome);
             outstandingProbes--;
             long took = clock.now() - request.startedAt;
-            submitInput(d -> d.probeEnded(request.pool.member, outcome, took, report));
+            submitInput(engine -> engine.probeEnded(request.pool.member, outcome, took, report));
             return;
         }
         counters.add("callout." + outcome);
@@ -262,7 +262,7 @@
         }
         long took = clock.now() - callOut.sentAt;
         boolean ended = rpc.ended;
-        submitInput(d -> d.callOutEnded(callOut, outcome, took, ended, position, role, report));
+        submitInput(engine -> engine.callOutEnded(callOut, outcome, took, ended, position, role, report));
     }
 
     private void recordFinalAnswer(Rpc rpc, String counter, boolean byEngine) {
@@ -276,9 +276,9 @@
 
     // ---- Actions of the routing engine ----
 
-    @Override public void sendCallOut(CallOut callOut, long limit) {
+    @Override public void sendCallOut(CallOut callOut, long timeout) {
         Pool pool = (Pool) callOut.member.frontState;
-        long deadline = limit > 0 ? Math.min(callOut.rpc.deadline, callOut.sentAt + limit) : callOut.rpc.deadline;
+        long deadline = timeout > 0 ? Math.min(callOut.rpc.deadline, callOut.sentAt + timeout) : callOut.rpc.deadline;
         MemberRequest request = new MemberRequest(callOut, pool, callOut.sentAt, deadline);
         callOut.frontState = request;
         counters.add("callout");
@@ -311,7 +311,7 @@
 
     @Override public void pushBack(Rpc rpc, long retryAfter) {
         recordFinalAnswer(rpc, "rpc.pushedback", true);
-        // rounded up: a client that retried any earlier would find nothing changed
+        // rounded up, since a client that retries any earlier finds nothing changed
         String retryAfterMillis = retryAfter > 0 ? Long.toString((retryAfter + 999_999) / 1_000_000) : null;
         ((ClientSession) rpc.frontState).sendError("53300", "no room for this statement now; trying again is harmless",
                 retryAfterMillis);
@@ -347,7 +347,7 @@
         wakeUpTimer = loop.schedule(() -> {
             wakeUpTimer = null;
             counters.recordTimerDelay(clock.now() - dueAt);
-            submitInput(d -> { });
+            submitInput(engine -> { });
         }, delay, TimeUnit.NANOSECONDS);
     }
 
@@ -366,8 +366,8 @@
     // ---- Services for connections ----
 
     /**
-     * Ends the settling of a connection one tick from now. All connections share one timer, since their responses
-     * come in order of time.
+     * Schedules the end of a connection's settling one tick from now. All connections share one timer, since their
+     * settling ends in the order in which it started.
      */
     void startSettling(MemberConnection connection) {
         connection.idleSince = clock.now() + settings.tick();
--- a/src/main/java/reedquay/net/Pool.java
+++ b/src/main/java/reedquay/net/Pool.java
@@ -45,7 +45,7 @@
     /** Sends a request on an idle connection, or else on the next one that is ready. */
     void submit(MemberRequest request) {
         MemberConnection connection = idle.pollFirst();
-        while (connection != null && !connection.isClean()) { // data came while it was idle
+        while (connection != null && !connection.isClean()) { // data arrived while it was idle
             connection.close();
             connection = idle.pollFirst();
         }
@@ -89,7 +89,7 @@
         openingCount--;
     }
 
-    /** Gives a connection that is open and free to the request that has waited longest, or keeps it idle. */
+    /** Assigns an open, unused connection to the request that has waited longest, or else keeps it idle. */
     void connectionReady(MemberConnection connection) {
         MemberRequest next = pendingRequests.pollFirst();
         if (next == null) {
@@ -100,7 +100,7 @@
             connection.state = MemberConnection.State.RESERVED;
             connection.request = next;
             next.connection = connection;
-            dispatcher.submitInput(d -> d.connectionReady(next.callOut));
+            dispatcher.submitInput(engine -> engine.connectionReady(next.callOut));
         }
     }
 
@@ -144,7 +144,7 @@
         while (closeOldestIdle(Long.MAX_VALUE, reason)) { }
     }
 
-    /** Closes connections that exceeded a timeout: while opening, on a request, or idle. */
+    /** Closes connections that have timed out: while opening, on a request, or idle. */
     void sweep(long now, long connectTimeout, long idleTimeout) {
         while (closeOldestIdle(now - idleTimeout, "idle")) { }
         for (MemberConnection connection : new ArrayList<>(connections)) {
