--- a/src/main/java/reedquay/net/Configuration.java
+++ b/src/main/java/reedquay/net/Configuration.java
@@ -19,8 +19,8 @@
 import reedquay.core.SettingsReader;
 
 /**
- * The configuration of a gateway. rememberedMembers: the member list as discovery last sent it before this start, null
- * for none; memoryMb: the memory limit, in MiB; sockets: the limit on file descriptors.
+ * The configuration of a gateway. cachedMembers: the member list that discovery last sent before this start, null for
+ * none; memoryMb: the memory limit, in MiB; sockets: the limit on file descriptors.
  */
 public record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
         int memoryMb, int sockets, JsonObject cachedMembers, SettingsReader settings) {
--- a/src/main/java/reedquay/net/Counters.java
+++ b/src/main/java/reedquay/net/Counters.java
@@ -17,11 +17,11 @@
         add(name, 1);
     }
 
-    void add(String name, long by) {
-        counts.computeIfAbsent(name, n -> new long[1])[0] += by;
+    void add(String name, long increment) {
+        counts.computeIfAbsent(name, n -> new long[1])[0] += increment;
     }
 
-    /** Counts by how many nanoseconds a timer of the event loop fired late, in a few coarse bins. */
+    /** Counts, in a few coarse bins, by how many nanoseconds a timer of the event loop fired late. */
     void recordTimerDelay(long nanos) {
         int bin = 0;
         while (bin < DELAY_BOUNDS_MILLIS.length && nanos >= DELAY_BOUNDS_MILLIS[bin] * 1_000_000) {
@@ -35,7 +35,7 @@
         gauges.put(name, value);
     }
 
-    /** Checks an invariant: asserts it where assertions are on, and else counts a violation as broken.INVARIANT. */
+    /** Checks an invariant: asserts it if assertions are enabled, else counts a violation as broken.INVARIANT. */
     void check(boolean condition, String invariant) {
         assert condition : invariant;
         if (!condition) {
--- a/src/main/java/reedquay/net/DiscoveryClient.java
+++ b/src/main/java/reedquay/net/DiscoveryClient.java
@@ -57,7 +57,7 @@
         return reconciler.hasReceivedList();
     }
 
-    /** Restores the list that this gateway had before a restart. */
+    /** Restores the cached list, which this gateway had before a restart. */
     void restore(JsonObject cachedList) {
         reconcilerNow().restore(parseList(cachedList, true));
     }
--- a/src/main/java/reedquay/net/Gateway.java
+++ b/src/main/java/reedquay/net/Gateway.java
@@ -36,7 +36,7 @@
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
     private final Configuration configuration;
-    private final ClientIdentifier clientIdentifier; // null where only tenants are told apart
+    private final ClientIdentifier clientIdentifier; // null where only tenants are identified
     private final MonotonicClock clock = new MonotonicClock();
     private final Counters counters = new Counters();
     private final Limits limits;
@@ -45,7 +45,7 @@
     private final long idleTimeout;
     private final long sweepInterval;
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
-    private final Set<ClientSession> startedSessions = new LinkedHashSet<>(); // their startup has come
+    private final Set<ClientSession> startedSessions = new LinkedHashSet<>(); // their startup message was received
     private final Set<ClientSession> unusedSessions = new LinkedHashSet<>(); // no message after the startup yet
     private final Set<ClientSession> idleSessions = new LinkedHashSet<>(); // between statements, longest idle first
     private final List<Runnable> readinessCallbacks = new ArrayList<>();
@@ -57,7 +57,7 @@
     private boolean stopping; // accepts no more; terminates with its last session
     private boolean listening;
     private Channel listener;
-    private InetSocketAddress discoveryAddress; // as of the last reload
+    private InetSocketAddress discoveryAddress; // from the last configuration read
 
     /** A gateway with the standard components. Throws IllegalArgumentException where the settings are invalid. */
     public Gateway(Configuration configuration) {
@@ -105,13 +105,13 @@
                             channel.pipeline().addLast(session.decoder, session);
                         }
                     })
-                    .bind(configuration.listen()).addListener((io.netty.channel.ChannelFuture f) -> {
-                        if (f.isSuccess()) {
-                            listener = f.channel();
+                    .bind(configuration.listen()).addListener((io.netty.channel.ChannelFuture binding) -> {
+                        if (binding.isSuccess()) {
+                            listener = binding.channel();
                             listening = true;
                             bound.complete((InetSocketAddress) listener.localAddress());
                         } else {
-                            bound.completeExceptionally(f.cause());
+                            bound.completeExceptionally(binding.cause());
                             terminate();
                         }
                     });
@@ -151,12 +151,12 @@
         }
     }
 
-    /** How long a start may take before clients are served whatever is missing. */
+    /** How long the gateway waits for the member list and the first probes before it serves clients regardless. */
     static long startupTimeout(Settings settings) {
         return 8 * settings.capabilities().connectTimeout();
     }
 
-    /** Runs the callback once the member list and the results of the first probes are there, or startupTimeout ends. */
+    /** Runs the callback once the member list and the first probes' results have arrived, or startupTimeout is over. */
     void whenReady(Runnable callback) {
         if (ready) {
             callback.run();
@@ -169,7 +169,7 @@
 
     /**
      * Reads a new configuration, on the caller's thread, and applies it. A file that is missing, incomplete or invalid
-     * changes nothing; the future is false then.
+     * changes nothing, and the future yields false.
      */
     public CompletableFuture<Boolean> reload(Path file) {
         try {
@@ -183,7 +183,7 @@
         }
     }
 
-    /** Applies what can change while running; false where some change needs a restart, which is logged. */
+    /** Applies what can change while running. Yields false where some change needs a restart, which is logged. */
     public CompletableFuture<Boolean> reload(Configuration next) {
         return submitToEventLoop(() -> {
             counters.add("reload");
@@ -202,7 +202,7 @@
         });
     }
 
-    /** Runs a change to the gateway's components on its event loop; false once it has stopped. */
+    /** Runs a change to the gateway's components on its event loop. Yields false once the gateway has stopped. */
     public CompletableFuture<Boolean> runOnEventLoop(Runnable change) {
         return submitToEventLoop(() -> {
             change.run();
@@ -210,7 +210,7 @@
         });
     }
 
-    /** Runs the change on the event loop; false, with nothing run, once this gateway has stopped. */
+    /** Runs the change on the event loop. Once this gateway has stopped, runs nothing and yields false. */
     private CompletableFuture<Boolean> submitToEventLoop(Supplier<Boolean> change) {
         CompletableFuture<Boolean> result = new CompletableFuture<>();
         try {
@@ -255,9 +255,9 @@
     }
 
     /**
-     * Closes sessions while more than the soft limit are started. Prevents a front from turning RPCs away, which
-     * happens when clients open a connection for each RPC and leave it open: the connections use up the descriptors
-     * that the front allows itself, although nearly all of them are idle here.
+     * Closes sessions while more than the soft limit have been started. Prevents clients' front ends from rejecting
+     * RPCs, which happens when they open a connection for each RPC and leave it open: the connections use up the
+     * descriptors that a front end allows itself, although nearly all of them are idle here.
      */
     private void closeExcessSessions(ClientSession keep) {
         boolean closed = true;
@@ -268,7 +268,7 @@
 
     /**
      * The oldest session that has sent no message for the length of the connect timeout, so that hundreds of silent
-     * clients can't displace those that work; else the session that has been idle longest, null for none. A session
+     * clients cannot displace those that work; else the session that has been idle longest, null for none. A session
      * that has just connected is neither: its first statement may not have been read yet, and it would reconnect.
      */
     private ClientSession sessionToClose() {
@@ -282,7 +282,7 @@
         return ordered.isEmpty() ? null : ordered.iterator().next();
     }
 
-    /** Closes the session, unless it is null or the one to keep; whether it was closed. */
+    /** Closes the session, unless it is null or the one to keep; returns whether it was closed. */
     private boolean closeToFreeDescriptor(ClientSession session, ClientSession keep) {
         if (session == null || session == keep) {
             return false;
@@ -326,7 +326,7 @@
         }
     }
 
-    /** Notes whether the session is between statements, which makes it a candidate for closing. */
+    /** Records whether the session is between statements, which makes it a candidate for closing. */
     void setIdle(ClientSession session, boolean isIdle) {
         idleSessions.remove(session);
         if (isIdle && sessions.contains(session) && !unusedSessions.contains(session)) {
@@ -370,7 +370,7 @@
         return stopped;
     }
 
-    /** Accepts what is in the backlog by now, whatever the limit, and then closes the listener; sessions go on. */
+    /** Accepts what is in the backlog by now, whatever the limit, and then closes the listener; sessions stay open. */
     private void stopAccepting() {
         listening = false;
         stopping = true;
--- a/src/main/java/reedquay/net/Limits.java
+++ b/src/main/java/reedquay/net/Limits.java
@@ -5,13 +5,13 @@
 /** Limits on open connections and on memory for messages, derived from the configured limits, and the current use. */
 final class Limits {
     static final int MAX_MESSAGE_BYTES = 256 * 1024; // fits a statement with a value of 64 KiB in hex
-    static final long UNUSED_TIMEOUT_NANOS = 2_000_000_000; // then a connection without an open RPC may be closed
-    private static final int MESSAGE_OVERHEAD_BYTES = 128; // memory of a message beside its bytes
+    static final long UNUSED_TIMEOUT_NANOS = 2_000_000_000; // after this a connection without an open RPC may be closed
+    private static final int MESSAGE_OVERHEAD_BYTES = 128; // memory that a message uses beyond its bytes
     private static final int RESERVED_DESCRIPTORS = 64; // for the process itself: jars, selectors, logs, discovery
 
     final int maxClients;
     final int clientsSoftLimit; // above this, sessions between RPCs are closed
-    /** The same for sessions whose startup has come: clients use a third of the descriptors for RPCs. */
+    /** The same for sessions that sent their startup message: clients use a third of the descriptors for RPCs. */
     final int startedSessionsSoftLimit;
     final int maxMemberConnections;
     final int maxQueuedBytes; // of one client's pipelined messages
@@ -31,7 +31,7 @@
         maxQueuedBytes = (int) Math.min(2 * MAX_MESSAGE_BYTES, maxHeldBytes / maxClients);
     }
 
-    /** Counts a new client connection; whether the soft limit is exceeded. */
+    /** Counts a new client connection; returns whether the soft limit is exceeded. */
     boolean clientOpened() {
         return ++openClients > clientsSoftLimit;
     }
@@ -49,17 +49,17 @@
         heldBytes += bytes;
     }
 
-    /** Whether held messages take more than their share of the configured memory; nothing is read from clients then. */
+    /** Whether held messages take more than their share of the configured memory; reading from clients then pauses. */
     boolean isMemoryFull() {
         return heldBytes > maxHeldBytes;
     }
 
-    /** Counts the bytes of clients' messages that have not come completely. */
+    /** Counts the bytes of clients' incomplete messages. */
     void addPartialBytes(int bytes) {
         partialBytes += bytes;
     }
 
-    /** Whether incomplete messages, which may never be completed, take more than their share of that memory. */
+    /** Whether incomplete messages, which may never be completed, take more than that share of the memory. */
     boolean isPartialMemoryFull() {
         return partialBytes > maxHeldBytes;
     }
--- a/src/main/java/reedquay/net/MemberConnection.java
+++ b/src/main/java/reedquay/net/MemberConnection.java
@@ -7,8 +7,8 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayList;
 import java.util.List;
-import reedquay.core.Outcome;
 import reedquay.core.LoadReport;
+import reedquay.core.Outcome;
 import reedquay.core.Role;
 import reedquay.pg.Frame;
 import reedquay.pg.FrameDecoder;
@@ -17,8 +17,8 @@
 /** One connection to a member; carries one request at a time. Times in nanoseconds. */
 final class MemberConnection extends ChannelInboundHandlerAdapter {
     /**
-     * OPENING until the startup is complete, SETTLING for a tick after a response, RESERVED for a request that the
-     * routing engine has yet to confirm, BUSY from the query to the end of its response.
+     * The states of a connection: OPENING until the startup is complete, SETTLING for a tick after a response, RESERVED
+     * for a request that the routing engine has yet to confirm, BUSY from the query to the end of its response.
      */
     enum State { OPENING, SETTLING, IDLE, RESERVED, BUSY, CLOSED }
 
@@ -102,7 +102,7 @@
             }
             switch (frame.type) {
                 case 'T', 'D', 'C' -> {
-                    // prevents passing on a malformed result: each part comes once, and in order
+                    // prevents passing on a malformed result: each part must come once, and in order
                     if (state != State.BUSY || response.sqlState != null || response.isComplete()
                             || RESULT_TYPES.charAt(response.frames.size()) != frame.type || !frame.isWellFormed()) {
                         protocolViolation("a malformed or unexpected part of a result");
@@ -142,7 +142,7 @@
             openFailure = code.equals("53300") ? Outcome.FULL : Outcome.NO_CONNECTION;
             channel.close();
         } else if (state != State.BUSY) {
-            close(); // an error between requests announces that the member closes
+            close(); // an error between requests announces that the member closes the connection
         } else if (code.isEmpty() || response.sqlState != null || response.isComplete()) {
             protocolViolation("a malformed or unexpected error");
         } else {
@@ -191,8 +191,8 @@
 
     /**
      * Makes the connection idle again, if nothing followed the last response. Prevents the answer to one statement from
-     * being served for the next, which happens when a member sends a second copy of a response: it is waited for, and
-     * any data that comes ends the connection.
+     * being served for the next, which happens when a member sends a second copy of a response: data that arrives
+     * while the connection settles closes it.
      */
     void settlingEnded() {
         if (state == State.CLOSED || !channel.isActive()) {
@@ -207,7 +207,7 @@
         pool.connectionReady(this);
     }
 
-    /** Whether no byte of a further message has come. */
+    /** Whether no byte of a further message has been received. */
     boolean isClean() {
         return !decoder.hasPartialMessage();
     }
@@ -238,7 +238,7 @@
         dispatcher.limits.memberConnectionClosed();
         pool.connectionClosed(this, previous, openFailure);
         if (interrupted != null && !malformed && (lastResponse.isComplete() || lastResponse.sqlState != null)) {
-            dispatcher.responseReceived(interrupted, lastResponse); // complete, though no ReadyForQuery came
+            dispatcher.responseReceived(interrupted, lastResponse); // complete, though without a ReadyForQuery
             return;
         }
         lastResponse.release();
@@ -271,7 +271,7 @@
         ctx.close();
     }
 
-    /** The load report in a response; fromRow: a probe's, whose report is the value of its row. */
+    /** Parses the load report of a response; fromRow: the response is a probe's, and its row holds the report. */
     static LoadReport parseLoadReport(Dispatcher dispatcher, Response response, boolean fromRow) {
         String text = response.loadReport;
         if (fromRow && response.frames.size() == 3) {
--- a/src/main/java/reedquay/net/MonotonicClock.java
+++ b/src/main/java/reedquay/net/MonotonicClock.java
@@ -20,7 +20,7 @@
         return last;
     }
 
-    /** Corrects the drift against the wall clock by at most maxStep, save that a wall clock far ahead is followed. */
+    /** Corrects the drift against the wall clock by at most maxStep nanoseconds, or fully if that is far ahead. */
     void slewTowardsWallClock(long maxStep) {
         long drift = wallTime() - System.nanoTime() - offset;
         offset += drift > STEP_THRESHOLD_NANOS ? drift : Math.max(-maxStep, Math.min(maxStep, drift));
--- a/src/main/java/reedquay/net/Statement.java
+++ b/src/main/java/reedquay/net/Statement.java
@@ -46,7 +46,7 @@
     private final int waitDigitsStart;
     private final int waitDigitsEnd;
 
-    /** Parses the frame, which the caller goes on to own. Throws InvalidStatementException with the first error. */
+    /** Parses the frame, which the caller still owns. Throws InvalidStatementException for the first error. */
     Statement(Frame frame) throws InvalidStatementException {
         this.frame = frame;
         ByteBuf content = frame.content();
@@ -106,9 +106,9 @@
     }
 
     /**
-     * Checks that the body is one statement, and returns its key, the first text in quotes. Finds what a member would
-     * close its connection on, with all that waits there: bytes that are not text, more or less than one statement, an
-     * unterminated quote, no key.
+     * Checks that the body is one statement, and returns its key, the first text in quotes. Rejects what would make a
+     * member close the connection, and with it all that is pending there: bytes that are not text, more or less than
+     * one statement, an unterminated quote, no key.
      */
     private String parseSingleStatement() throws InvalidStatementException {
         ByteBuf content = frame.content();
@@ -117,22 +117,23 @@
         if (end < start || content.getByte(end) != 0) {
             throw new InvalidStatementException("expected a statement that ends with a zero byte");
         }
-        Scan scan = new Scan();
-        boolean complete = content.forEachByte(start, end - start, scan) < 0;
+        StatementScanner scanner = new StatementScanner();
+        boolean complete = content.forEachByte(start, end - start, scanner) < 0;
         boolean isText = complete
-                ? scan.ascii || ByteBufUtil.isText(content, start, end - start, StandardCharsets.UTF_8) : scan.ended;
+                ? scanner.ascii || ByteBufUtil.isText(content, start, end - start, StandardCharsets.UTF_8)
+                : scanner.ended;
         if (!isText) {
             throw new InvalidStatementException("expected text");
         } else if (!complete) {
             throw new InvalidStatementException("expected a single statement");
-        } else if (scan.quoted || scan.keyEnd < 0) {
+        } else if (scanner.quoted || scanner.keyEnd < 0) {
             throw new InvalidStatementException("expected a key in quotes");
         }
-        return content.toString(start + scan.keyStart, scan.keyEnd - scan.keyStart, StandardCharsets.UTF_8);
+        return content.toString(start + scanner.keyStart, scanner.keyEnd - scanner.keyStart, StandardCharsets.UTF_8);
     }
 
     /** One pass over a statement's bytes; stops at a control character, or at a byte after the statement's end. */
-    private static final class Scan implements ByteProcessor {
+    private static final class StatementScanner implements ByteProcessor {
         boolean quoted, ended, ascii = true;
         int keyStart = -1; // of the first text in quotes
         int keyEnd = -1;
@@ -207,7 +208,7 @@
         return Long.parseLong(text);
     }
 
-    /** The Query for a member: the bytes as they came, with millis as the time that this gateway will wait. */
+    /** The Query for a member: the client's bytes, with millis in d as the time that this gateway will wait. */
     ByteBuf queryForMember(ByteBufAllocator allocator, long millis) {
         return Messages.query(allocator, frame, waitDigitsStart, waitDigitsEnd, millis);
     }
--- a/src/main/java/reedquay/net/Trace.java
+++ b/src/main/java/reedquay/net/Trace.java
@@ -7,7 +7,7 @@
 import reedquay.core.Rpc;
 
 /**
- * Debug log of the events of each RPC, one line per event, with the RPC's id first. Enabled where the logger takes
+ * Debug log of the events of each RPC, one line per event, with the RPC's id first. Enabled if the logger accepts
  * debug lines when the gateway is created; otherwise no line is built. Ids are those of the wire, so that an RPC and
  * its client's retries can be followed through the logs of many gateways.
  */
@@ -30,15 +30,15 @@
         }
     }
 
-    void callOutSent(CallOut call) {
+    void callOutSent(CallOut callOut) {
         if (enabled) {
-            line(id(call.rpc) + " sent to " + call.member.id);
+            line(id(callOut.rpc) + " sent to " + callOut.member.id);
         }
     }
 
-    void callOutEnded(CallOut call, Outcome outcome, long took) {
+    void callOutEnded(CallOut callOut, Outcome outcome, long took) {
         if (enabled) {
-            line(id(call.rpc) + " " + outcome + " of " + call.member.id + " after " + took / 1_000_000 + " ms");
+            line(id(callOut.rpc) + " " + outcome + " of " + callOut.member.id + " after " + took / 1_000_000 + " ms");
         }
     }
 
--- a/src/main/java/reedquay/net/WarmUp.java
+++ b/src/main/java/reedquay/net/WarmUp.java
@@ -30,8 +30,8 @@
 /**
  * Warms up the JVM before a gateway starts: sends RPCs through another gateway with the same settings to members that
  * answer at once, all within this process and on its own address. Prevents a slow start of service, which happens when
- * the JVM has only part of a core and takes seconds to compile what serving needs. A class archive that is written
- * during the run also makes the next start quicker. The commands rehearse and serve run it.
+ * the JVM has only part of a core and takes seconds to compile the code that serves RPCs. A class archive that is
+ * written during the run also speeds up the next start. The commands rehearse and serve run it.
  */
 public final class WarmUp {
     private static final int CLIENTS = 8;
@@ -116,7 +116,7 @@
         return bytes;
     }
 
-    /** Reads from the client's connection until that many ReadyForQuery have come. */
+    /** Reads from the client's connection until it has received count ReadyForQuery messages. */
     private static void awaitReadyForQuery(Socket client, int count) throws IOException {
         DataInputStream in = new DataInputStream(client.getInputStream());
         for (int remaining = count; remaining > 0; ) {
