--- a/src/main/java/reedquay/core/LatencyHistogram.java
+++ b/src/main/java/reedquay/core/LatencyHistogram.java
@@ -13,7 +13,7 @@
     /** Creates an empty histogram; unit: the upper end of the first bin, in nanoseconds. */
     public LatencyHistogram(long unit) { this(unit, 32); }
 
-    /** The same; halvingSamples: all weights are halved whenever they reach that of so many new samples. */
+    /** The same, with weights that are halved whenever their sum is that of halvingSamples unhalved samples. */
     public LatencyHistogram(long unit, int halvingSamples) {
         this.unit = Math.max(1, unit); // prevents a division by zero, which happens with a soft deadline of zero
         this.maxTotalWeight = 2 * halvingSamples;
--- a/src/main/java/reedquay/route/Router.java
+++ b/src/main/java/reedquay/route/Router.java
@@ -138,7 +138,7 @@
         long coldBudgetWindow = LONG_AGO, backoffUntil = LONG_AGO, limitReducedAt = LONG_AGO;
         boolean ejected, ejectionLogged, probeInFlight, gone;
         boolean contacted; // a call-out has been sent there
-        boolean trialAllowed; // while ejected: one trial request may be sent, by a probe's answer or for want of probes
+        boolean trialAllowed; // while ejected: one trial request may be sent: a probe was answered, or there are none
         long silentSince; // when it last answered, or got a call-out while it had none
         long loadReportedAt, trialInterval, nextTrialAt;
 
@@ -667,7 +667,7 @@
     /**
      * Whether a bounded or session read may go to the primary. Where only answers report positions and this gateway
      * gets too few of them, it cannot know which replicas are fresh enough. A replica that was reported to lag is no
-     * reason. The chance falls with the primary's latency and rises with the utility of the method.
+     * reason to use the primary. The chance falls with the primary's latency and rises with the utility of the method.
      */
     private boolean mayReadFromPrimary(PendingRpc pending) {
         Endpoint primary = pending.group.primary;
