--- a/src/main/java/reedquay/net/ClientSession.java
+++ b/src/main/java/reedquay/net/ClientSession.java
@@ -326,6 +326,7 @@
         return clientAddress;
     }
 
+    /** A parameter of the startup message; null where it has none of that name or parameters are not kept. */
     String startupParameter(String name) {
         return startupParameters == null ? null : startupParameters.get(name);
     }
@@ -382,6 +383,7 @@
         }
     }
 
+    /** Closes the connection once all output is written. */
     void closeAfterFlush() {
         state = State.CLOSING;
         lastProgressAt = dispatcher.clock.now();
--- a/src/main/java/reedquay/net/Counters.java
+++ b/src/main/java/reedquay/net/Counters.java
@@ -13,6 +13,7 @@
     private final Map<String, long[]> counts = new TreeMap<>();
     private final Map<String, LongSupplier> gauges = new TreeMap<>();
 
+    /** Adds one to the counter of that name. */
     void add(String name) {
         add(name, 1);
     }
--- a/src/main/java/reedquay/net/DiscoveryClient.java
+++ b/src/main/java/reedquay/net/DiscoveryClient.java
@@ -67,6 +67,7 @@
         reconcilerNow().moveTo(newAddress);
     }
 
+    /** Closes the watches that have received nothing, heartbeats included, for too long. */
     void closeSilentWatches() {
         reconcilerNow().closeSilentWatches();
     }
--- a/src/main/java/reedquay/net/Dispatcher.java
+++ b/src/main/java/reedquay/net/Dispatcher.java
@@ -152,6 +152,7 @@
         return inFlightById.containsKey(id);
     }
 
+    /** The method of that name; null where the settings have none. */
     Method method(String name) {
         return methods.get(name);
     }
@@ -188,6 +189,7 @@
         return rpc;
     }
 
+    /** Ends an RPC whose client has disconnected; it gets no answer. */
     void clientDisconnected(Rpc rpc) {
         if (!rpc.ended) {
             rpc.ended = true;
@@ -204,6 +206,7 @@
         submitInput(engine -> engine.membersListed(kind, entries));
     }
 
+    /** The pool of the member of that id, created when discovery first names it. */
     Pool pool(String id) {
         return pools.computeIfAbsent(id, memberId -> {
             Pool pool = new Pool(this, new Member(memberId), bootstrap);
@@ -357,6 +360,7 @@
         LOG.log(System.Logger.Level.INFO, line);
     }
 
+    /** Logs a warning, unless the same line or too many different ones were logged before. */
     void logOnce(String line) {
         if (loggedWarnings.size() < MAX_DISTINCT_WARNINGS && loggedWarnings.add(line)) {
             LOG.log(System.Logger.Level.WARNING, line);
@@ -424,6 +428,7 @@
                 p -> p.sweep(now, settings.capabilities().connectTimeout(), idleTimeout));
     }
 
+    /** The number of RPCs without a final answer. */
     int inFlight() {
         return inFlight;
     }
--- a/src/main/java/reedquay/net/Gateway.java
+++ b/src/main/java/reedquay/net/Gateway.java
@@ -295,6 +295,7 @@
         return true;
     }
 
+    /** Removes a session whose connection has closed. */
     void sessionClosed(ClientSession session) {
         sessions.remove(session);
         startedSessions.remove(session);
@@ -312,6 +313,7 @@
         unusedSessions.remove(session);
     }
 
+    /** The time of the last sweep, for uses where the interval between sweeps is precise enough. */
     long lastSweepAt() {
         return lastSweepAt;
     }
--- a/src/main/java/reedquay/net/Limits.java
+++ b/src/main/java/reedquay/net/Limits.java
@@ -68,6 +68,7 @@
         return partialBytes;
     }
 
+    /** The bytes of memory that a held message counts as. */
     static int memoryCost(Frame frame) {
         return frame.content().readableBytes() + MESSAGE_OVERHEAD_BYTES;
     }
--- a/src/main/java/reedquay/net/MemberConnection.java
+++ b/src/main/java/reedquay/net/MemberConnection.java
@@ -49,7 +49,7 @@
     final long openedAt;
     final FrameDecoder decoder = FrameDecoder.forServer(Limits.MAX_MESSAGE_BYTES);
     State state = State.OPENING;
-    long idleSince;
+    long idleSince; // while it is settling: when that ends
     MemberRequest request;
     private Channel channel;
     private Response response = new Response();
@@ -256,6 +256,7 @@
         close();
     }
 
+    /** Closes the connection; its request, if any, ends as if the member had closed it. */
     void close() {
         if (state == State.IDLE) {
             channel.writeAndFlush(Messages.terminate(channel.alloc().buffer(8)));
--- a/src/main/java/reedquay/net/Pool.java
+++ b/src/main/java/reedquay/net/Pool.java
@@ -104,6 +104,7 @@
         }
     }
 
+    /** Removes a closed connection; openFailure: the outcome of the request that waited for it, if it never opened. */
     void connectionClosed(MemberConnection connection, MemberConnection.State previous, Outcome openFailure) {
         connections.remove(connection);
         idle.remove(connection);
@@ -140,6 +141,7 @@
         return true;
     }
 
+    /** Closes all idle connections; reason: the last part of the name of the counter that counts them. */
     void closeAllIdle(String reason) {
         while (closeOldestIdle(Long.MAX_VALUE, reason)) { }
     }
--- a/src/main/java/reedquay/pg/Frame.java
+++ b/src/main/java/reedquay/pg/Frame.java
@@ -19,6 +19,7 @@
     private static final int HEADER_BYTES = 5; // type and length
     private static final int COLUMN_DESCRIPTOR_BYTES = 18; // of a RowDescription, after the column's name
 
+    /** The letter of the message's type, or UNTYPED. */
     public final byte type;
 
     /** type: UNTYPED for a message without a type; message: all of it, with type and length. */
