--- a/src/main/java/reedquay/net/Pool.java
+++ b/src/main/java/reedquay/net/Pool.java
@@ -45,7 +45,7 @@
     /** Sends a request on an idle connection, or else on the next one that is ready. */
     void submit(MemberRequest request) {
         MemberConnection connection = idle.pollFirst();
-        while (connection != null && !connection.isClean()) { // data came while it was idle
+        while (connection != null && !connection.isClean()) { // data arrived while it was idle
             connection.close();
             connection = idle.pollFirst();
         }
@@ -89,7 +89,7 @@
         openingCount--;
     }
 
-    /** Gives a connection that is open and free to the request that has waited longest, or keeps it idle. */
+    /** Assigns an open, unused connection to the request that has waited longest, or else keeps it idle. */
     void connectionReady(MemberConnection connection) {
         MemberRequest next = pendingRequests.pollFirst();
         if (next == null) {
@@ -100,10 +100,11 @@
             connection.state = MemberConnection.State.RESERVED;
             connection.request = next;
             next.connection = connection;
-            dispatcher.submitInput(d -> d.connectionReady(next.callOut));
+            dispatcher.submitInput(engine -> engine.connectionReady(next.callOut));
         }
     }
 
+    /** Removes a closed connection; openFailure: the outcome of the request that waited for it, if it never opened. */
     void connectionClosed(MemberConnection connection, MemberConnection.State previous, Outcome openFailure) {
         connections.remove(connection);
         idle.remove(connection);
@@ -140,11 +141,12 @@
         return true;
     }
 
+    /** Closes all idle connections; reason: the last part of the name of the counter that counts them. */
     void closeAllIdle(String reason) {
         while (closeOldestIdle(Long.MAX_VALUE, reason)) { }
     }
 
-    /** Closes connections that exceeded a timeout: while opening, on a request, or idle. */
+    /** Closes connections that have timed out: while opening, on a request, or idle. */
     void sweep(long now, long connectTimeout, long idleTimeout) {
         while (closeOldestIdle(now - idleTimeout, "idle")) { }
         for (MemberConnection connection : new ArrayList<>(connections)) {
