--- a/src/main/java/reedquay/fair/AdmissionController.java
+++ b/src/main/java/reedquay/fair/AdmissionController.java
@@ -14,13 +14,13 @@
 import java.util.function.BiPredicate;
 import java.util.zip.CRC32;
 import reedquay.core.CallOut;
-import reedquay.core.RoutingActions;
 import reedquay.core.Latency;
 import reedquay.core.ListedMember;
+import reedquay.core.LoadReport;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.LoadReport;
 import reedquay.core.Role;
+import reedquay.core.RoutingActions;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
 import reedquay.core.Stage;
@@ -29,21 +29,22 @@
  * Admission control with weighted fair queueing in front of the Router: decides which RPCs wait, which waiting RPC is
  * admitted next, and which RPCs are pushed back with which retry-after. The Router alone selects members, retries, and
  * pushes RPCs back because of the state of members. An RPC that waits here has never been sent to a member, so it can
- * always be pushed back safely; an admitted RPC is left to the Router. Clients are told apart by a seeded hash of their
- * id. Times are in nanoseconds; most are fractions or multiples of the shortest soft deadline of all methods.
- * Single-threaded. Order of the file: state transitions of an RPC, fields, inputs, conditions and actions of the
- * transitions, service times and costs, timer wheel, statistics.
+ * always be pushed back safely; an admitted RPC is left to the Router. Clients are identified by a seeded hash of their
+ * ID. Times are in nanoseconds; most are fractions or multiples of the shortest soft deadline of all methods.
+ * Single-threaded. The sections of the file, in order: state transitions of an RPC, fields, inputs, conditions and
+ * actions of the transitions, retry-after and costs, timer wheel, statistics.
  */
 public final class AdmissionController extends Stage {
-    /** Where an RPC stands: not decided yet, queued, handed to the Router, or done with. */
+    /** States of an RPC: not decided yet, queued, passed on to the Router, or finished as far as this stage goes. */
     enum State { NEW, WAITING, ADMITTED, FINISHED }
 
-    /** What happens to an RPC. */
+    /** Events of an RPC that can change its state. */
     enum Input {
+        /** It arrived from the front. */
         ARRIVED,
         /** The fair scheduler selected it. */
         SCHEDULED,
-        /** It waited for as long as it may. */
+        /** It has waited for as long as it may. */
         EXPIRED,
         /** Its place in the queue is needed for an RPC of a shorter flow. */
         EVICTED,
@@ -55,6 +56,7 @@
         TERMINATED
     }
 
+    /** A row of the transition table: in this state, this input leads to nextState and runs the action. */
     private record Transition(State state, Input input, BiPredicate<AdmissionController, AdmissionEntry> condition,
             State nextState, BiConsumer<AdmissionController, AdmissionEntry> action) { }
 
@@ -68,11 +70,11 @@
     private static final Transition[] TRANSITIONS = {
         // an unknown group or method is for the Router to answer
         new Transition(State.NEW, Input.ARRIVED, NO_TRAFFIC_CLASS, State.ADMITTED, AdmissionController::forward),
-        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canEnterAtOnce, State.ADMITTED,
+        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canAdmitAtOnce, State.ADMITTED,
                 AdmissionController::admit),
         new Transition(State.NEW, Input.ARRIVED, AdmissionController::canQueueReserved, State.WAITING,
                 AdmissionController::enqueueReserved),
-        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canStartInTime, State.WAITING,
+        new Transition(State.NEW, Input.ARRIVED, AdmissionController::canAdmitInTime, State.WAITING,
                 AdmissionController::enqueue),
         new Transition(State.NEW, Input.ARRIVED, ALWAYS, State.FINISHED, AdmissionController::reject),
         // the RPC has ended because its client disconnected
@@ -127,7 +129,7 @@
     }
 
     private static final long NEVER = Long.MAX_VALUE;
-    private static final int HEAVY_HITTER_COUNT = 64;
+    private static final int HEAVY_HITTER_COUNT = 64; // clients whose work and pushbacks are counted
 
     private final Settings settings;
     private final long tick; // nanoseconds; the front's timers are no finer
@@ -161,6 +163,10 @@
     private boolean clientsMarkRetries; // a retry marked as such has been seen
     private boolean capacityFreed; // an admitted RPC has left since the queues were last served
 
+    /**
+     * Creates the stage; setNext is to be called with the Router before the first input. The actions carry out what the
+     * Router and this stage decide.
+     */
     public AdmissionController(Settings settings, AdmissionSettings admissionSettings, RoutingActions actions) {
         super(actions);
         this.settings = settings;
@@ -190,7 +196,7 @@
         previousHasher = firstHasher = hasher;
     }
 
-    /** Changes the tenants' weights at run time. A tenant without an entry has its quota in the settings as weight. */
+    /** Changes the tenants' weights at run time. A tenant without an entry is weighted by its quota. */
     public void setWeights(Map<String, Double> weightByName) {
         double[] weightByTenant = tenantCounters.stream()
                 .mapToDouble(tenant -> weightByName.getOrDefault(tenant.name, tenant.defaultWeight)).toArray();
@@ -209,7 +215,7 @@
 
     @Override public void beginBatch(long time) {
         now = time;
-        alarmAt = now + tick >= alarmAt ? NEVER : alarmAt; // a coarser clock can wake it up to a tick early
+        alarmAt = now + tick >= alarmAt ? NEVER : alarmAt; // a coarse clock can wake it up to a tick early
         routerAlarmAt = now >= routerAlarmAt ? NEVER : routerAlarmAt;
         next.beginBatch(now);
         for (int i = 0; i < trafficClasses.size(); i++) {
@@ -332,7 +338,8 @@
 
     @Override public void deadlineShortened(Rpc rpc) {
         AdmissionEntry entry = (AdmissionEntry) rpc.stageState;
-        if (entry.state == State.WAITING) { // a shutdown may come before it is admitted, and would leave it unanswered
+        // a shutdown shortens deadlines: a waiting RPC then expires earlier, so that it is answered before the shutdown
+        if (entry.state == State.WAITING) {
             removeFromWheel(entry);
             entry.expiresAt = Math.min(entry.expiresAt,
                     entry.arrivedAt + (rpc.deadline - entry.arrivedAt) / 2 - wheelSlotWidth);
@@ -383,8 +390,11 @@
 
     // ---- Conditions and actions of the transitions ----
 
-    /** Whether nothing waits and the concurrency limit isn't reached. Without overload nothing else is checked. */
-    private boolean canEnterAtOnce(AdmissionEntry entry) {
+    /**
+     * Whether it can be admitted without waiting: nothing waits and the concurrency limit isn't reached. Without
+     * overload and outstanding reservations nothing else is checked.
+     */
+    private boolean canAdmitAtOnce(AdmissionEntry entry) {
         if (!entry.trafficClass.concurrencyLimit.hasCapacity()) {
             entry.trafficClass.concurrencyLimit.observe(ConcurrencyLimit.Input.BURST, now,
                     meanServiceTime(entry.trafficClass));
@@ -423,7 +433,7 @@
     }
 
     /** Whether it is expected to be admitted before it expires, and there is a place for it in the queue. */
-    private boolean canStartInTime(AdmissionEntry entry) {
+    private boolean canAdmitInTime(AdmissionEntry entry) {
         pushbackReason = PushbackReason.NO_TIME;
         return now + Math.max(expectedWait(entry), wheelSlotWidth) <= entry.expiresAt && ensurePlace(entry);
     }
@@ -459,7 +469,7 @@
         // a round serves each flow of the tenant once
         double workAhead = (double) (clientWork + entry.cost) * tenantFlows / share;
         double servedRate = scheduler.servedRate(queue, entry.tenant, entry.clientKey, now, shortestSoftDeadline / 4);
-        // what others leave to the client can be less than its share of the rounds
+        // the rate that others leave to the client can be lower than its share of the rounds
         double observedWait = servedRate > 0 ? (clientWork + entry.cost) / servedRate * 1e9 : 0;
         return (long) Math.max(observedWait, Math.min(workAhead, queue.queuedWork()) / workRate * 1e9);
     }
@@ -510,7 +520,7 @@
         removeFromWheel(entry);
         tenantCounters.get(entry.tenant).admitted++;
         entry.trafficClass.concurrencyLimit.acquire();
-        entry.rpc.retry &= !entry.reserved; // a retry at its retry-after is not an unsolicited one
+        entry.rpc.retry &= !entry.reserved; // a retry at its retry-after was asked for: a first attempt to the Router
         forward(entry);
     }
 
@@ -564,7 +574,7 @@
             tenantCounters.get(entry.tenant).redeemedInTime++;
         }
         if (!trafficClass.concurrencyLimit.overloaded() && !entry.heldByRouter) {
-            return; // without overload the answer tells nothing of the capacity
+            return; // without overload the answer shows nothing about the capacity
         }
         trafficClass.recordServed(costsOf(method).quantile(0.25, shortestSoftDeadline / 16));
         long meanHoldTime = trafficClass.holdTimes.mean(0);
@@ -578,9 +588,9 @@
     }
 
     /**
-     * The Router pushed back an admitted RPC. As far as it can be seen from here, that shows a lack of capacity only
-     * where the RPC needs no recent data and the group has answered recently. Lagging replicas and a missing primary
-     * are not a lack of capacity.
+     * Records that the Router pushed back an admitted RPC. This counts as a lack of capacity only if the RPC needs no
+     * recent data and the group has answered recently, since the Router also pushes back because replicas lag or no
+     * primary is known.
      */
     private void recordPushback(AdmissionEntry entry) {
         release(entry);
@@ -609,7 +619,7 @@
 
     /**
      * Reserves a retry-after for the client: when enough of its queued work will have been served for one more RPC to
-     * be answered in time. 0 where there is none to give.
+     * be answered in time. Returns 0 if no retry-after can be given.
      */
     private long reserveRetryAfter(AdmissionEntry entry) {
         if (maxRetryAfter <= 0 || entry.trafficClass == null) {
