--- a/src/main/java/reedquay/fair/FairScheduler.java
+++ b/src/main/java/reedquay/fair/FairScheduler.java
@@ -54,7 +54,7 @@
 
         long queuedWork(int tenant) { return tenantQueuedWork[tenant]; }
 
-        /** The tenant's part of the service, from 0 to 1, while it and the tenants that now have a flow wait. */
+        /** The tenant's part of the service, from 0 to 1, while it competes with the tenants that have a flow now. */
         double share(int tenant, double weight) {
             return weight / (flowCount[tenant] > 0 ? activeWeight : activeWeight + weight);
         }
@@ -125,6 +125,7 @@
         waiting = 0;
     }
 
+    /** Creates an empty queue for one traffic class. */
     Queue newQueue() { return new Queue(queueCount++, tenantCount); }
 
     /** Bytes of the arrays, constant from construction on. */
@@ -149,7 +150,7 @@
     /** Credit of a client per round; no less than the most expensive RPC costs, so that each round serves an entry. */
     void setQuantum(long work) { quantum = Math.max(1, work); }
 
-    /** Adds an entry. The caller has checked that it isn't full. */
+    /** Adds an entry to the queue. The caller has checked that the scheduler isn't full. */
     void add(Queue queue, AdmissionEntry entry, long now) {
         int index = freeEntry;
         freeEntry = nextEntry[index];
@@ -185,6 +186,7 @@
         flowQueue[flow].tenantQueuedWork[flowTenant[flow]] += work;
     }
 
+    /** Removes a waiting entry, and its flow if that becomes empty. */
     void remove(AdmissionEntry entry) {
         int index = entry.entryIndex;
         int flow = entry.flowIndex;
@@ -214,7 +216,7 @@
         freeEntry = index;
     }
 
-    /** Removes and returns the entry served next; null where nothing waits. */
+    /** Removes and returns the entry that is served next; null if the queue is empty. */
     AdmissionEntry poll(Queue queue) {
         AdmissionEntry entry = queue.reserved.peekFirst();
         if (entry != null) {
@@ -269,7 +271,7 @@
         }
     }
 
-    /** The entry with the highest utility per work among the first of the flow; of equal ones the oldest. */
+    /** The entry with the highest utility per work among the first entries of the flow; of equal ones the oldest. */
     private AdmissionEntry mostUseful(int flow) {
         AdmissionEntry best = entries[firstEntry[flow]];
         int index = nextEntry[firstEntry[flow]];
@@ -281,7 +283,7 @@
     }
 
     /**
-     * The newest entry of the longest flow in a sample of entries; null where the sample is empty. A long flow is
+     * The newest entry of the longest flow in a sample of entries; null if the sample is empty. A long flow is
      * likely to be in the sample, as it has many entries.
      */
     AdmissionEntry evictionCandidate(long random) {
@@ -305,7 +307,7 @@
 
     /**
      * Work per second that the client has recently been served while it had entries waiting; 0 before minDuration
-     * nanoseconds have passed. After four times that long the past counts half.
+     * nanoseconds have passed. Once four times that have passed, older work counts half.
      */
     double servedRate(Queue queue, int tenant, long clientKey, long now, long minDuration) {
         int flow = findFlow(queue, tenant, clientKey);
