--- a/src/main/java/reedquay/fair/ConcurrencyLimit.java
+++ b/src/main/java/reedquay/fair/ConcurrencyLimit.java
@@ -2,12 +2,14 @@
 
 /**
  * Adaptive limit on the RPCs of one traffic class that are in flight behind admission control, adjusted by additive
- * increase and multiplicative decrease from their outcomes. Without overload there is no limit but for bursts, and
- * nothing is learnt. Reads no clock; times are in nanoseconds and passed in.
+ * increase and multiplicative decrease from their outcomes. Without overload only bursts are limited, and the limit is
+ * not adjusted. Reads no clock: the caller passes times, in nanoseconds.
  */
 final class ConcurrencyLimit {
+    /** NORMAL: only bursts are limited. OVERLOADED: the limit is in force and is adjusted. */
     enum State { NORMAL, OVERLOADED }
 
+    /** Observations that can change the state or the limit. */
     enum Input {
         /** An RPC was answered, and the Router sends admitted RPCs on at once. */
         FAST_ANSWER,
@@ -22,7 +24,7 @@
     }
 
     private static final int BURST_ALLOWANCE = 16; // RPCs admitted at once, however few were in flight before
-    private static final int MIN_LIMIT = 2; // two RPCs, as one may show free capacity where the other can't
+    private static final int MIN_LIMIT = 2; // with two RPCs, one can show free capacity when the other can't
 
     private interface Condition {
         boolean test(ConcurrencyLimit limit);
@@ -58,15 +60,15 @@
     private long decreasedAt = Long.MIN_VALUE;
     private long now;
     private long serviceTime;
-    private boolean exponentialGrowth; // from a burst to the first decrease: doubles per round instead of adding one
+    private boolean exponentialGrowth; // from a burst to the first decrease: a round doubles the limit, not adds one
     private int peakInFlight; // recent maximum
     private int previousPeakInFlight; // recent maximum as of the end of the last window
     private int inFlight;
     private long overloadCount;
 
     /**
-     * Applies an input. usualServiceTime: the usual time from admission to answer; a decrease takes effect after that,
-     * so that there is no further one before.
+     * Applies an input. usualServiceTime: the usual time from admission to answer; a decrease shows its effect only
+     * after that, so that no other decrease is made before.
      */
     void observe(Input input, long observedAt, long usualServiceTime) {
         now = observedAt;
@@ -87,11 +89,13 @@
         return inFlight < (state == State.NORMAL ? 4 * previousPeakInFlight + BURST_ALLOWANCE : (int) limit);
     }
 
+    /** Counts an RPC as in flight, from its admission on. */
     void acquire() {
         inFlight++;
         peakInFlight = Math.max(peakInFlight, inFlight);
     }
 
+    /** Ends what acquire began for one RPC. */
     void release() { inFlight--; }
 
     int inFlight() { return inFlight; }
@@ -107,7 +111,7 @@
 
     private boolean nearLimit() { return inFlight + 1 >= (int) limit; }
 
-    /** How often it has become overloaded. */
+    /** How often the traffic class has become overloaded. */
     long overloadCount() { return overloadCount; }
 
     private void enterOverload() {
