--- a/src/main/java/reedquay/fair/RetryReservations.java
+++ b/src/main/java/reedquay/fair/RetryReservations.java
@@ -3,15 +3,17 @@
 import java.util.Arrays;
 
 /**
- * Reservations behind the retry-after that pushed-back clients are given, and whether a client has come at its time. A
- * schedule counts the reservations in each time slot and keeps them below a part of the RPCs that can be served in it,
- * so that retries don't arrive together and are admitted. A client has one reservation in each schedule, for a few of
- * its RPCs. All memory is allocated at construction: where the table has no free place, there is no reservation and no
- * retry-after. Clients are 64-bit keys. Times are in nanoseconds. Single-threaded; reads no clock.
+ * Reservations of service at the retry-after times that pushed-back clients are given. A schedule counts the
+ * reservations in each time slot and keeps them below a part of the RPCs that can be served in it, so that retries are
+ * spread over time and can be admitted. A client has at most one reservation in each schedule, which a few of its RPCs
+ * share. Reservations are kept in a hash table that is allocated at construction; if it has no free place for a client,
+ * the client gets no reservation and no retry-after. Clients are identified by 64-bit keys. Times are in nanoseconds.
+ * Single-threaded; reads no clock.
  */
 final class RetryReservations {
-    private static final int MAX_PROBE_LENGTH = 8; // table places that are searched for a client
+    private static final int MAX_PROBE_LENGTH = 8; // places of the table that are searched for a client
     private static final int MAX_RPCS_PER_CLIENT = 4; // RPCs of one client that share a reservation
+
     private final long slotWidth;
     private final long maxRetryAfter;
     private final long lateTolerance;
@@ -20,11 +22,12 @@
     private final long[] dueAt; // 0 for a free place
     private final int[] scheduleIndex;
     private final byte[] outstanding; // RPCs of the client that have yet to redeem the reservation
-    private long latestDueAt = Long.MIN_VALUE; // of all reservations ever made
+    private long latestDueAt = Long.MIN_VALUE; // of all reservations so far, redeemed ones included
 
     /**
      * slotWidth: the length of a time slot; maxRetryAfter: the longest retry-after; lateTolerance: how much later than
-     * its time a client may come (it may not come earlier); maxReservations: the number of reservations at a time.
+     * its time a client may redeem a reservation (it can't redeem it earlier); maxReservations: the maximum number of
+     * reservations at a time.
      */
     RetryReservations(long slotWidth, long maxRetryAfter, long lateTolerance, int maxReservations) {
         this.lateTolerance = lateTolerance;
@@ -65,9 +68,9 @@
 
         /**
          * Reserves a time for a client and returns the retry-after: no shorter than minDelay, in a slot where
-         * rpcsPerSecond allows another reservation. 0 where none can be kept. An existing reservation stays, and is
-         * given to a few more RPCs of the client as long as its slot allows; which of its RPCs had it before isn't
-         * known.
+         * rpcsPerSecond allows another reservation. Returns 0 if there is no such slot or no place in the table. An
+         * existing reservation stays, and a few more RPCs of the client share it as long as its slot allows; it isn't
+         * known which RPCs of the client were given it before.
          */
         long reserve(long clientKey, long now, long minDelay, double rpcsPerSecond) {
             if (maxRetryAfter <= 0) {
@@ -86,7 +89,7 @@
                 return dueAt[existing] - now;
             }
             if (existing >= 0 && now - lateTolerance <= dueAt[existing]) {
-                return 0; // the RPCs that hold the reservation may be about to arrive
+                return 0; // the RPCs that were given the reservation may be about to arrive
             }
             int target = existing >= 0 ? existing : findFree(clientKey, index, now);
             advance(now);
@@ -112,8 +115,9 @@
         }
 
         /**
-         * Records a retry-after that the Router chose as a reservation where the table has a place, without a limit by
-         * slot. Returns the retry-after to give: that of the client's existing reservation where there is one to share.
+         * Records a retry-after that the Router chose as a reservation, if the table has a place; the number per time
+         * slot is not limited. Returns the retry-after to give: that of the client's existing reservation if there is
+         * one to share, else the Router's.
          */
         long record(long clientKey, long now, long retryAfter) {
             int existing = findReservation(clientKey, index);
@@ -133,7 +137,7 @@
             return retryAfter;
         }
 
-        /** Whether the client has a reservation for now; consumes it for one RPC. */
+        /** Whether the client has a reservation that is due now; consumes it for one RPC. */
         boolean redeem(long clientKey, long now) {
             int position = findReservation(clientKey, index);
             if (position < 0 || dueAt[position] > now || now - lateTolerance > dueAt[position]) {
