--- a/src/main/java/reedquay/fair/AdmissionEntry.java
+++ b/src/main/java/reedquay/fair/AdmissionEntry.java
@@ -10,7 +10,7 @@
     final int tenant; // index
     final long arrivedAt;
     AdmissionController.State state = AdmissionController.State.NEW;
-    long clientKey; // seeded hash of the client's id
+    long clientKey; // seeded hash of the client's ID
     long cost; // expected work in nanoseconds; 0 before it is estimated
     double utilityPerWork;
     boolean reserved; // it arrived at the retry-after that its client was given
--- a/src/main/java/reedquay/fair/HeavyHitters.java
+++ b/src/main/java/reedquay/fair/HeavyHitters.java
@@ -6,7 +6,7 @@
 import reedquay.core.Rpc;
 
 /**
- * The clients that ask for most work, by the Space-Saving algorithm (Metwally, Agrawal and El Abbadi 2005): a fixed
+ * The clients that ask for the most work, by the Space-Saving algorithm (Metwally, Agrawal and El Abbadi 2005): a fixed
  * number of clients, each with a count that is too high by no more than its error. A client that asks for more than the
  * total divided by that number is among them. The counts are halved periodically, so that they reflect recent work.
  * Single-threaded.
@@ -19,6 +19,7 @@
     private final long[] pushbacks;
     private int used;
 
+    /** size: the number of clients that are counted at a time. */
     HeavyHitters(int size) {
         clientKeys = new long[size];
         names = new String[size];
@@ -27,6 +28,7 @@
         pushbacks = new long[size];
     }
 
+    /** Adds the work of a client's RPC. A client that isn't counted yet takes a free place or that of the lightest. */
     void addWork(long clientKey, Rpc rpc, long added) {
         int smallest = 0;
         for (int i = 0; i < used; i++) {
@@ -45,12 +47,14 @@
         pushbacks[index] = 0;
     }
 
+    /** Counts a pushback of the client, if the client is among those that are counted. */
     void recordPushback(long clientKey) {
         for (int i = 0; i < used; i++) {
             pushbacks[i] += clientKeys[i] == clientKey ? 1 : 0;
         }
     }
 
+    /** Halves all counts, so that older work counts less. */
     void halve() {
         for (int i = 0; i < used; i++) {
             work[i] /= 2;
--- a/src/main/java/reedquay/fair/TrafficClass.java
+++ b/src/main/java/reedquay/fair/TrafficClass.java
@@ -19,6 +19,10 @@
     long lastOkAt = Long.MIN_VALUE; // time of the last ok answer
     long lastQueuedAt = Long.MIN_VALUE; // when an RPC was last queued or rejected
 
+    /**
+     * timeUnit: the unit of the service times; that of the hold times is a sixteenth of it. window: the length of the
+     * windows over which rates are measured. Both are in nanoseconds.
+     */
     TrafficClass(FairScheduler.Queue queue, RetryReservations.Schedule schedule, long timeUnit, long window) {
         this.queue = queue;
         this.schedule = schedule;
@@ -49,11 +53,13 @@
         saturated = queue.length() > 0 || !queue.reserved.isEmpty();
     }
 
+    /** Counts an RPC that was answered; cost: its expected work in nanoseconds. */
     void recordServed(long cost) {
         servedRpcs++;
         servedWork += cost;
     }
 
+    /** Records that an RPC waited or was pushed back, so that what is served in this window shows the capacity. */
     void markSaturated() { saturated = true; }
 
     /** RPCs per second as measured under overload; before that, the concurrency limit over the service time. */
