--- a/src/main/java/reedquay/Main.java
+++ b/src/main/java/reedquay/Main.java
@@ -9,7 +9,7 @@
 import reedquay.net.Gateway;
 import reedquay.net.WarmUp;
 import reedquay.ops.OperatorGateway;
-import reedquay.ops.SimulatorEngines;
+import reedquay.ops.RoutingEngineFactories;
 import reedquay.sim.SimHost;
 import sun.misc.Signal;
 
@@ -49,7 +49,7 @@
         SimHost.RoutingEngineFactory engineFactory = null;
         if (operatorFile != null) {
             try {
-                engineFactory = SimulatorEngines.factory(Path.of(operatorFile));
+                engineFactory = RoutingEngineFactories.fromOperatorFile(Path.of(operatorFile));
             } catch (IOException e) {
                 System.err.println("reedquay: cannot start: " + e.getMessage());
                 return 1;
@@ -73,7 +73,7 @@
         return 0;
     }
 
-    /** Starts a gateway. Returns -1 if it is running, else the exit status. */
+    /** Starts a gateway; operatorFile is null for none. Returns -1 if the gateway is running, else the exit status. */
     public static int serve(String configFile, String operatorFile) {
         if (configFile == null) {
             System.err.println("usage: java -jar reedquay.jar simhost | serve [CONFIG] | rehearse CONFIG | --help\n"
@@ -89,7 +89,7 @@
             // prevents the JVM's default action for SIGHUP, to exit, during the rest of the start, which takes seconds
             Signal.handle(new Signal("HUP"), signal -> reload.request());
             rehearse(configFile);
-            // held by a strong reference, since the log manager keeps only weak ones to loggers
+            // a strong reference keeps the logger's settings, since the log manager has only weak references to loggers
             Object traceLogger = Boolean.getBoolean("reedquay.trace") ? PersistentLogManager.enableTrace() : null;
             Gateway gateway = operatorGateway != null ? operatorGateway.gateway()
                     : new Gateway(Configuration.read(Path.of(configFile)));
--- a/src/main/java/reedquay/ops/OperatorConfig.java
+++ b/src/main/java/reedquay/ops/OperatorConfig.java
@@ -20,7 +20,7 @@
 /**
  * The operators' configuration file: TOML with one section per subsystem. Every key is validated, and all problems of a
  * file are reported together, each with file, line, key and the allowed values. {@link #RELOADABLE_KEYS} lists the keys
- * that take effect while a gateway runs.
+ * that a running gateway applies on reload.
  */
 public record OperatorConfig(FairQueueing fairQueueing) {
     /**
@@ -201,7 +201,7 @@
             return value == null ? defaultValue : value;
         }
 
-        /** Returns the value of a key, null if it is absent; null with a recorded problem if it has another type. */
+        /** Returns the value of a key; null if it is absent; null, with a recorded problem, if its type is wrong. */
         private <T> T typedValue(TomlTable section, String path, String key, Class<T> type, String allowed) {
             try {
                 Object value = section.get(List.of(key));
--- a/src/main/java/reedquay/ops/OperatorGateway.java
+++ b/src/main/java/reedquay/ops/OperatorGateway.java
@@ -15,8 +15,8 @@
 import reedquay.route.Router;
 
 /**
- * A gateway with the optional components that the operators' file enables. The class is loaded only if there is such a
- * file.
+ * A gateway with the optional components that the operators' file enables, which can be reloaded while it runs. This
+ * class is loaded only if an operators' file is given.
  */
 public final class OperatorGateway {
     private static final System.Logger LOG = System.getLogger("reedquay");
@@ -39,7 +39,7 @@
         gateway = new Gateway(configuration, new GatewayComponents(this::createEngine, clientIdentifier));
     }
 
-    /** Creates the Router, behind the admission controller if fair queueing is enabled. */
+    /** Creates the Router, with the admission controller before it if fair queueing is enabled. */
     private RoutingEngine createEngine(Settings settings, RoutingActions actions) {
         if (!config.fairQueueing().enabled()) {
             return new Router(settings, actions);
@@ -54,6 +54,7 @@
         return newController;
     }
 
+    /** The gateway, which the caller starts and stops. */
     public Gateway gateway() {
         return gateway;
     }
--- a/src/main/java/reedquay/ops/SimulatorEngines.java
+++ b/src/main/java/reedquay/ops/RoutingEngineFactories.java
@@ -6,17 +6,18 @@
 import reedquay.route.Router;
 import reedquay.sim.SimHost;
 
-/** Creates routing engines for the simulator, with the optional components that the operators' file enables. */
-public final class SimulatorEngines {
-    private SimulatorEngines() { }
+/** Factories of the simulator's routing engines, with the optional components that the operators' file enables. */
+public final class RoutingEngineFactories {
+    private RoutingEngineFactories() { }
 
     /**
-     * Returns a factory of engines as the file configures them.
+     * Returns a factory of the Router alone or, if the file enables fair queueing, of the Router with an admission
+     * controller before it.
      *
      * @throws IOException if the file cannot be read
      * @throws OperatorConfig.InvalidConfigException if the file is invalid
      */
-    public static SimHost.RoutingEngineFactory factory(Path operatorFile) throws IOException {
+    public static SimHost.RoutingEngineFactory fromOperatorFile(Path operatorFile) throws IOException {
         OperatorConfig config = OperatorConfig.read(operatorFile);
         if (!config.fairQueueing().enabled()) {
             return Router::new;
