--- a/src/main/java/reedquay/sim/LineReader.java
+++ b/src/main/java/reedquay/sim/LineReader.java
@@ -5,8 +5,9 @@
 import reedquay.core.Decimal;
 
 /**
- * Reads the fields of one line in order. A field that is missing or malformed throws MalformedLineException, whose
- * message quotes the line and what was expected; "-" stands for an absent value.
+ * Reads the fields of one line, separated by blanks, in order. Each method reads the next field; expected describes it
+ * for the message of the MalformedLineException that is thrown if the field is missing or malformed. "-" stands for an
+ * absent value.
  */
 final class LineReader {
     private final String line;
@@ -22,7 +23,7 @@
         return word("a message name");
     }
 
-    /** The remaining fields, as pairs path=value. */
+    /** The remaining fields, which are pairs path=value; values by path. */
     Map<String, String> remainingPairs() {
         Map<String, String> values = new HashMap<>();
         while (next < fields.length) {
@@ -48,6 +49,7 @@
         return field.equals("-") ? null : field;
     }
 
+    /** The next field, which must have a value. */
     String word(String expected) {
         String field = optional(expected);
         if (field == null) {
@@ -93,6 +95,7 @@
         return field == null ? defaultValue : scaled(field, 6, expected);
     }
 
+    /** Reads 1 for true or 0 for false. */
     boolean bool(String expected) {
         String field = word(expected);
         if (!field.equals("1") && !field.equals("0")) {
--- a/src/main/java/reedquay/sim/SimGateway.java
+++ b/src/main/java/reedquay/sim/SimGateway.java
@@ -22,8 +22,8 @@
 import reedquay.core.SettingsReader;
 
 /**
- * One gateway instance of the simulator. Turns the fields of its events into objects for its routing engine, and the
- * engine's actions into lines of the reply.
+ * One gateway instance of the simulator. Converts the lines of its events to inputs of its routing engine, and the
+ * engine's actions to lines of the reply.
  */
 final class SimGateway implements RoutingActions {
     final long id;
@@ -53,6 +53,7 @@
         engine = factory.create(settings, this);
     }
 
+    /** Begins a batch at the given clock time, in nanoseconds. */
     void begin(long now) {
         engine.beginBatch(now);
     }
@@ -66,6 +67,7 @@
         }
     }
 
+    /** Handles the event of that name, whose fields follow in the line; lists: the member lists defined so far. */
     void handle(String name, LineReader line, String[][] lists) {
         switch (name) {
             case "JOB_IN" -> rpcArrived(line);
@@ -75,8 +77,8 @@
             case "HEALTH" -> {
                 Member member = parseMember(line);
                 Outcome outcome = parseOutcome(line);
-                long took = line.millis("a duration in milliseconds");
-                engine.probeEnded(member, outcome, took, parseReport(line));
+                long latency = line.millis("a duration in milliseconds");
+                engine.probeEnded(member, outcome, latency, parseReport(line));
             }
             case "CLIENT_GONE" -> {
                 Rpc rpc = rpcs.get(line.integer("a request id"));
@@ -92,7 +94,7 @@
                 line.integer("the sender's instance number");
                 String hex = line.optional("hex digits");
                 try {
-                    HexFormat.of().parseHex(hex == null ? "" : hex); // checked and ignored: gateways exchange no data
+                    HexFormat.of().parseHex(hex == null ? "" : hex); // validated and ignored: gateways exchange no data
                 } catch (IllegalArgumentException e) {
                     throw line.malformed("hex digits");
                 }
@@ -127,7 +129,7 @@
         long stamp = line.integerOr(0, "a stamp");
         int attempt = (int) line.integer("a call-out number");
         Outcome outcome = parseOutcome(line);
-        long took = line.millis("a duration in milliseconds");
+        long latency = line.millis("a duration in milliseconds");
         boolean rpcEnded = line.bool("1 or 0 for whether the RPC has ended");
         line.word("a database server");
         LoadReport report = parseReport(line);
@@ -143,7 +145,7 @@
         long position = positionsInAnswers && stamp != 0
                 ? reportParser.position(stamp >> 2, commit) : LoadReport.NO_POSITION;
         Role role = (stamp & 3) == 1 ? Role.PRIMARY : (stamp & 3) == 2 ? Role.REPLICA : Role.UNKNOWN;
-        engine.callOutEnded(callOut, outcome, took, rpcEnded, position, role, report);
+        engine.callOutEnded(callOut, outcome, latency, rpcEnded, position, role, report);
         forget(rpc);
     }
 
@@ -256,9 +258,9 @@
         out.append(callOut.rpc.callOuts.indexOf(callOut)).append('\n');
     }
 
-    @Override public void pushBack(Rpc rpc, long after) {
+    @Override public void pushBack(Rpc rpc, long retryAfter) {
         out.append("PUSH_BACK ").append(rpc.id).append(' ');
-        LineReader.appendMillis(out, after);
+        LineReader.appendMillis(out, retryAfter);
         out.append('\n');
         rpc.ended = true;
         forget(rpc);
--- a/src/main/java/reedquay/sim/SimHost.java
+++ b/src/main/java/reedquay/sim/SimHost.java
@@ -28,12 +28,13 @@
 
     private final RoutingEngineFactory engineFactory;
     private final TreeMap<Long, SimGateway> gateways = new TreeMap<>();
-    private final String[][] lists = new String[16][];
+    private final String[][] lists = new String[16][]; // member lists by number, as lines; null if not defined
     private final Set<SimGateway> addressed = new LinkedHashSet<>(); // instances named in this batch
-    private SimGateway current; // the instance that the lines after an ABOUT go to; null if it is not started
+    private SimGateway current; // the instance that the last ABOUT named; null if none did or it is not started
     private long currentId = -1;
     private long now;
 
+    /** Creates a host without instances; the factory creates the engine of each instance that is started. */
     public SimHost(RoutingEngineFactory engineFactory) {
         this.engineFactory = engineFactory;
     }
