--- a/src/main/java/reedquay/ops/OperatorGateway.java
+++ b/src/main/java/reedquay/ops/OperatorGateway.java
@@ -15,8 +15,8 @@
 import reedquay.route.Router;
 
 /**
- * A gateway with the optional components that the operators' file enables, which can be reloaded while it runs. This
- * class is loaded only if an operators' file is given.
+ * A gateway with the optional components that the operators' file enables. The file can be read again while the gateway
+ * runs. This class is loaded only if an operators' file is given.
  */
 public final class OperatorGateway {
     private static final System.Logger LOG = System.getLogger("reedquay");
