--- a/example/StandIn.java
+++ b/example/StandIn.java
@@ -38,8 +38,8 @@
 import reedquay.pg.Messages;
 
 /**
- * A stand-in for a primary, its replicas and their discovery service, to try a gateway with and to test it against. It
- * implements the parts of the published protocols that a gateway uses, and can inject faults. All of it runs on one
+ * A stand-in for a primary, its replicas and their discovery service, for trying out and testing a gateway. It
+ * implements the parts of the published protocols that a gateway uses, and can inject faults. Everything runs on one
  * event loop of its own; ports are chosen by the system unless given.
  */
 public final class StandIn implements AutoCloseable {
@@ -121,7 +121,7 @@
         group.shutdownGracefully(0, 5, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Runs a change on the event loop and waits for its end. */
+    /** Runs a change on the event loop and waits until it is done. */
     public void runOnEventLoop(Runnable change) {
         group.next().submit(change).syncUninterruptibly();
     }
@@ -134,7 +134,7 @@
         public final String name;
         /** Whether it is the primary. */
         public volatile boolean primary;
-        /** How far a replica's position is behind, in milliseconds. */
+        /** How far a replica's position is behind the primary's, in milliseconds. */
         public volatile long lagMillis = 5;
         /**
          * The fault to inject: empty for none, an SQLSTATE to answer statements with, or one of these.
@@ -154,7 +154,7 @@
         public volatile long startedAtMs;
         /** Work of a statement on the member's single core, in microseconds; 0 answers at once. */
         public volatile long workMicros;
-        /** Number of statements, with the running one, above which others are refused with SQLSTATE 53300. */
+        /** Maximum number of statements, with the running one; more are refused with SQLSTATE 53300. */
         public volatile int maxQueuedStatements = 1000;
         private int queuedStatements;
         private long freeAtNanos;
@@ -276,7 +276,7 @@
             respond(ctx, out, text);
         }
 
-        /** Answers after the work of the statement and of those queued before it. */
+        /** Answers a statement once its work and that of the statements queued before it is done. */
         private void queueStatement(ChannelHandlerContext ctx, ByteBuf out, String text) {
             if (server.queuedStatements >= server.maxQueuedStatements) {
                 writeError(ctx, out, "53300");
@@ -292,7 +292,7 @@
             }, server.freeAtNanos - now, TimeUnit.NANOSECONDS);
         }
 
-        /** Answers a statement as the injected fault has it. */
+        /** Answers a statement, or fails to, according to the injected fault. */
         private void respond(ChannelHandlerContext ctx, ByteBuf out, String text) {
             switch (server.fault) {
                 case "silent" -> out.release();
@@ -312,7 +312,7 @@
             ctx.write(Messages.readyForQuery(writePositionAndRole(out, server.position())));
         }
 
-        /** Executes a statement and writes its answer, with the injected fault. */
+        /** Executes a statement and writes its answer, changed by the injected fault if there is one. */
         private void execute(ChannelHandlerContext ctx, ByteBuf out, String sql, boolean commented) {
             Matcher write = WRITE.matcher(sql);
             Matcher read = READ.matcher(sql);
@@ -390,7 +390,7 @@
         });
     }
 
-    /** Sends a text to all watches as it is, without a line end. */
+    /** Sends a text to all watches unchanged, without adding a line end. */
     public void sendRaw(String text) {
         runOnEventLoop(() -> watches.forEach(w -> w.writeAndFlush(new DefaultHttpContent(
                 Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)))));
@@ -401,7 +401,7 @@
         runOnEventLoop(() -> new ArrayList<>(watches).forEach(Channel::close));
     }
 
-    /** Returns a member list in the JSON form of discovery; full: it replaces earlier lists. */
+    /** Returns a list of the named members in discovery's JSON form; full: the list replaces earlier ones. */
     public String listJson(boolean full, String... names) {
         StringBuilder out = new StringBuilder("{\"generation\":" + generation + ",\"reset\":" + full
                 + ",\"instances\":[");
@@ -466,6 +466,7 @@
         }
     }
 
+    /** Runs one command and returns the text to print. */
     private String runCommand(String[] words) {
         Server server = words.length < 2 ? null : servers.get(words[1]);
         if (server == null || (words[0].equals("lag") || words[0].equals("fault")) && words.length < 3) {
