--- a/lab/src/main/java/reedquay/lab/TrafficMix.java
+++ b/lab/src/main/java/reedquay/lab/TrafficMix.java
@@ -10,9 +10,27 @@
 public record TrafficMix(List<Method> methods, double[] shares) {
     private static final double WRITE_SHARE = 0.08;
 
-    /** Unusual mixes that the settings allow and that a user may come to have. */
-    public enum EdgeCase { NO_BOUNDED, ALL_BOUNDED, NO_WRITES, ALL_ALIKE, ALL_WORTHLESS, ONE_WORTHLESS, BOUND_OF_NOUGHT,
-        BOUND_OF_AN_HOUR, NO_TIME }
+    /** Edge cases of mixes that the settings allow. The constants are values of a command-line option. */
+    public enum EdgeCase {
+        /** No reads with a maximum age of the data. */
+        NO_BOUNDED,
+        /** Only reads with a maximum age of the data. */
+        ALL_BOUNDED,
+        /** No writes. */
+        NO_WRITES,
+        /** A utility of 1 for all methods. */
+        ALL_ALIKE,
+        /** A utility of 0 for all methods. */
+        ALL_WORTHLESS,
+        /** A utility of 0 for the first read with a maximum age. */
+        ONE_WORTHLESS,
+        /** A maximum age of 0 for the first read with one. */
+        BOUND_OF_NOUGHT,
+        /** A maximum age of an hour for the first read with one. */
+        BOUND_OF_AN_HOUR,
+        /** A soft deadline of 0 for the first read with a maximum age. */
+        NO_TIME
+    }
 
     /** A write and four reads with random bounds, utilities and shares. */
     static TrafficMix random(SplittableRandom random) {
