--- a/lab/src/main/java/reedquay/lab/QueueingDisciplines.java
+++ b/lab/src/main/java/reedquay/lab/QueueingDisciplines.java
@@ -10,20 +10,20 @@
 import java.util.SplittableRandom;
 
 /**
- * Queueing disciplines on a simple model: one server, requests of one unit of work, light clients that ask equally
- * often and one greedy client that asks many times as often. Compares their memory and fairness; the code of admission
- * control itself is not part of it.
+ * Compares the memory and fairness of queueing disciplines on a simple model: one server, requests of one unit of work,
+ * light clients that send requests at equal rates, and one greedy client that sends many times as many. The disciplines
+ * are written for this comparison; the code of admission control is not used.
  */
 final class QueueingDisciplines {
-    /** A queueing discipline: queues requests by client id and returns the client that is served next. */
+    /** A queueing discipline: queues requests by client ID and selects the client that is served next. */
     interface Discipline {
-        /** ACCEPTED, REJECTED, or the client whose newest request was evicted for this one. */
+        /** Adds a request. Returns ACCEPTED, REJECTED, or the client whose newest request was evicted for this one. */
         int add(int client);
 
-        /** The client served next; -1 where nothing waits. */
+        /** Removes the request that is served next and returns its client; -1 if no request waits. */
         int next();
 
-        /** Bytes of its data structures now, counted as arrays of primitive types. */
+        /** Current size of its data structures in bytes, as if they were arrays of primitive types. */
         long bytes();
     }
 
@@ -34,6 +34,7 @@
 
     private QueueingDisciplines() { }
 
+    /** Returns the disciplines by the name that is printed in the table. */
     static Map<String, Discipline> all(long seed) {
         Map<String, Discipline> disciplines = new java.util.LinkedHashMap<>();
         disciplines.put("first come", new HashedQueues(1, 1, seed, 0));
@@ -48,9 +49,9 @@
     }
 
     /**
-     * Stochastic fair queueing: queues by hash of the client, served round robin; with a hand of more than one (shuffle
-     * sharding) the shortest queue of the client's hand. Requests are rehashed with a new seed every reseedInterval
-     * requests; 0 for never.
+     * Stochastic fair queueing: a request is put into the queue that a hash of its client selects, and the queues are
+     * served round robin. With a hand of more than one queue per client (shuffle sharding), the shortest queue of the
+     * client's hand is used. Waiting requests are rehashed with a new seed every reseedInterval requests; 0 for never.
      */
     private static final class HashedQueues implements Discipline {
         private final List<ArrayDeque<Integer>> queues = new ArrayList<>();
@@ -72,9 +73,9 @@
 
         private ArrayDeque<Integer> queueOf(int client) {
             ArrayDeque<Integer> shortest = null;
-            SplittableRandom dealt = new SplittableRandom(seed * 31 + client);
+            SplittableRandom handRandom = new SplittableRandom(seed * 31 + client);
             for (int i = 0; i < handSize; i++) {
-                ArrayDeque<Integer> candidate = queues.get(dealt.nextInt(queues.size()));
+                ArrayDeque<Integer> candidate = queues.get(handRandom.nextInt(queues.size()));
                 shortest = shortest == null || candidate.size() < shortest.size() ? candidate : shortest;
             }
             return shortest;
@@ -120,7 +121,7 @@
         @Override public long bytes() { return queues.size() * 16L + MAX_WAITING * 8L; }
     }
 
-    /** Round robin over the clients that have requests waiting; evicts from the client with the most. */
+    /** Round robin over the clients that have requests waiting; evicts requests of the client with the most. */
     private static final class RoundRobin implements Discipline {
         private final Map<Integer, Integer> waitingByClient = new HashMap<>();
         private final ArrayDeque<Integer> ring = new ArrayDeque<>();
@@ -243,8 +244,8 @@
     }
 
     /**
-     * A row of the printed table: share of requests served in time for the light clients together, for the worst 1 % of
-     * them, and for the greedy client; and bytes.
+     * Simulates a discipline and returns its row of the printed table: the share of requests served in time for the
+     * light clients together, for the worst 1 % of them and for the greedy client, and the bytes.
      */
     static String tableRow(String name, Discipline discipline, int clients, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -252,7 +253,7 @@
         int[] requests = new int[clients + 1];
         int[] served = new int[clients + 1];
         Map<Integer, ArrayDeque<Integer>> queuedAt = new HashMap<>();
-        // all light clients ask for 0.8 of the server's capacity, the greedy one for 0.6, in random order within a step
+        // the light clients together use 0.8 of the server's capacity, the greedy one 0.6, in random order in a step
         for (int step = 0; step < steps; step++) {
             boolean lightFirst = random.nextBoolean();
             for (int k = 0; k < 2; k++) {
@@ -279,19 +280,19 @@
                 }
             }
         }
-        double light = 0;
+        double lightServed = 0;
         long lightRequests = 0;
         List<Double> servedShares = new ArrayList<>();
-        for (int c = 1; c <= clients; c++) {
-            light += served[c];
-            lightRequests += requests[c];
-            if (requests[c] > 0) {
-                servedShares.add(served[c] / (double) requests[c]);
+        for (int client = 1; client <= clients; client++) {
+            lightServed += served[client];
+            lightRequests += requests[client];
+            if (requests[client] > 0) {
+                servedShares.add(served[client] / (double) requests[client]);
             }
         }
         servedShares.sort(Double::compare);
         return String.format(Locale.ROOT, "| %s | %,d | %.3f | %.3f | %.3f | %,d |", name, clients,
-                light / lightRequests, servedShares.get(servedShares.size() / 100), served[0] / (double) requests[0],
-                discipline.bytes());
+                lightServed / lightRequests, servedShares.get(servedShares.size() / 100),
+                served[0] / (double) requests[0], discipline.bytes());
     }
 }
