--- a/lab/src/main/java/reedquay/lab/FleetSimulation.java
+++ b/lab/src/main/java/reedquay/lab/FleetSimulation.java
@@ -33,19 +33,20 @@
  */
 public final class FleetSimulation {
     static final long NANOS_PER_MS = 1_000_000;
-    static final long COLD_NANOS = 8000 * NANOS_PER_MS; // a new process is cold for that long
-    static final long COLD_WINDOW_NANOS = 2000 * NANOS_PER_MS; // over which rule 4 counts call-outs
+    static final long COLD_NANOS = 8000 * NANOS_PER_MS; // how long a new process is cold
+    static final long COLD_WINDOW_NANOS = 2000 * NANOS_PER_MS; // in which rule 4 counts call-outs to a cold member
     static final long GRACE_NANOS = 500 * NANOS_PER_MS; // for a drain, and for an answer past its deadline
-    private static final double COLD_MULTIPLE = 4; // of what a cold member can do
+    private static final double COLD_MULTIPLE = 4; // of what a cold member can do; rule 4 allows no more
     private static final double COLD_SHARE = 0.25; // of the full speed, for a process that has just started
     private static final int SLOTS_PER_MEMBER = 4; // RPCs that a member serves at a time
     private static final long HANDOVER_NANOS = 600 * NANOS_PER_MS; // from a primary's drain to the handover
     private static final long ROLE_LISTED_NANOS = 1500 * NANOS_PER_MS; // from a handover to the list that shows it
     private static final long MAX_LAG_NANOS = 900 * NANOS_PER_MS;
 
-    /** What happens to the fleet beside the traffic. */
+    /** Disturbances of the fleet during the traffic. */
     public record Disturbances(boolean replicasLag, boolean membersReplaced, boolean gatewaysRestart) { }
 
+    /** An event at a simulated time in nanoseconds; events of the same time run by their sequence numbers. */
     private record Event(long at, long sequence, Runnable action) { }
 
     /** The counts of one method: RPCs, those served within the soft deadline, and attempts, which include retries. */
@@ -64,7 +65,7 @@
     private static final class SimulatedMember {
         final String id;
         final int group;
-        final long startedAt; // 0 for long ago, and so warm
+        final long startedAt; // 0 for a process that started long ago and is warm
         final ArrayDeque<Runnable> queue = new ArrayDeque<>();
         final ArrayDeque<Long> recentSends = new ArrayDeque<>(); // within the last cold window
         int busy;
@@ -73,8 +74,8 @@
         boolean up = true;
         long replicationDelay; // time from a commit on the primary until it is applied here
         /**
-         * When replication stops; it stays stopped until the data is MAX_LAG_NANOS older than usual. A lag that began
-         * at once would move the position back, and a position never decreases.
+         * When replication stops; it stays stopped until the data is MAX_LAG_NANOS older than usual. The lag grows from
+         * then on, since a sudden one would move the position back, and a position never decreases.
          */
         long lagsFrom = Long.MAX_VALUE;
 
@@ -102,7 +103,7 @@
         final Map<String, Member> memberObjects = new HashMap<>();
         final Map<Rpc, Long> firstArrivals = new LinkedHashMap<>(); // RPCs in flight; arrival of the first attempt
         final Map<Rpc, Runnable> retries = new HashMap<>();
-        final Set<String> reportedReplicas = new HashSet<>(); // members whose latest answer said replica
+        final Set<String> reportedReplicas = new HashSet<>(); // members whose latest answer reported the role replica
         final Set<CallOut> neverRan = new HashSet<>(); // call-outs proven to have had no effect
         final Map<String, Long> drainingSince = new HashMap<>(); // when this gateway was notified, by member
         boolean stopped;
@@ -205,9 +206,9 @@
             }));
         }
 
-        @Override public void pushBack(Rpc rpc, long after) {
+        @Override public void pushBack(Rpc rpc, long retryAfter) {
             rpcAnswered(rpc);
-            schedule(now + after, retries.remove(rpc));
+            schedule(now + retryAfter, retries.remove(rpc));
         }
 
         @Override public void abort(Rpc rpc) {
@@ -335,6 +336,7 @@
         now = end;
     }
 
+    /** The counts of each method so far. */
     public Map<Method, MethodCounts> counts() {
         return counts;
     }
@@ -344,11 +346,12 @@
         return violations;
     }
 
+    /** Number of gateways in the settings, whether simulated or not. */
     public int configuredGateways() {
         return configuredGateways;
     }
 
-    /** How many members the first gateway holds state for. */
+    /** Number of members for which the first gateway holds state. */
     public int membersKnownToFirstGateway() {
         return gateways.get(0).memberObjects.size();
     }
