--- a/lab/src/main/java/reedquay/lab/FairQueueScenarios.java
+++ b/lab/src/main/java/reedquay/lab/FairQueueScenarios.java
@@ -27,7 +27,7 @@
     public static final Method CHEAP = readMethod("cheap", 1);
     /** A read with {@link #EXPENSIVE_WORK_NANOS} of work. */
     public static final Method EXPENSIVE = readMethod("dear", 1);
-    /** A write that is safe to retry within a second, by its token. */
+    /** A write with a token, by which it is safe to retry within a second. */
     public static final Method TOKENED_WRITE = new Method("write", Method.Consistency.WRITE, 0, 400 * MS, 1500 * MS, 3,
             0.5, Method.RetrySafety.TOKENED, Method.DeduplicationScope.GROUP, 1000 * MS);
     /** A write that must not run twice. */
@@ -68,7 +68,7 @@
                 new Settings.PositionSources(true, false, true, false, false), new Settings.Costs(0, 0, 0, 0, 0));
     }
 
-    /** Returns settings with three tenants of equal quotas, so high that the Router pushes back nothing for them. */
+    /** Returns settings with three tenants of equal quotas, too high for the Router to push back RPCs over quota. */
     public static Settings threeTenants() {
         return settings(new Settings.Tenant("red", 1000), new Settings.Tenant("green", 1000),
                 new Settings.Tenant("blue", 1000));
--- a/lab/src/main/java/reedquay/lab/GatewaySimulation.java
+++ b/lab/src/main/java/reedquay/lab/GatewaySimulation.java
@@ -43,7 +43,7 @@
         DEAF
     }
 
-    /** A Poisson stream of requests of one tenant and method, with what became of them. */
+    /** A Poisson stream of requests of one tenant and method, with statistics of their outcomes. */
     public static final class RequestStream {
         final String tenant;
         final String clientId;
@@ -53,7 +53,7 @@
         final long startNanos;
         final long endNanos;
         boolean newClientPerRequest; // each request has a client ID of its own
-        /** Whether a request that is pushed back is given up. */
+        /** Whether requests that are pushed back are given up instead of retried. */
         public boolean neverRetries;
         /** Requests, each counted once whatever its number of attempts. */
         public long requests;
--- a/lab/src/main/java/reedquay/lab/JournalTable.java
+++ b/lab/src/main/java/reedquay/lab/JournalTable.java
@@ -21,13 +21,13 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Prints a table of the simulated days in journal entries that record shares by method; the tables of docs/fleet.md are
- * its output. The version of the Router is given by the first eight characters of the checksum of its source text,
- * which also name the copy of that text in journal/blobs.
+ * Prints a table of the simulated days in journal entries, as far as they record shares by method; the tables of
+ * docs/fleet.md are its output. The version of the Router is given by the first eight characters of the checksum of its
+ * source text, which also name the copy of that text in journal/blobs.
  */
 @Command(name = "played", mixinStandardHelpOptions = true,
-        description = "The days of journal entries, with the share of each method that was served and the share that"
-        + " was required.")
+        description = "Prints the simulated days of journal entries, with the share of each method's RPCs that was"
+        + " served and the share that was required.")
 final class JournalTable implements Callable<Integer> {
     @Spec private CommandSpec spec;
     @Parameters(paramLabel = "JOURNAL", description = "the directory of journal entries, or one entry")
--- a/lab/src/main/java/reedquay/lab/LoadGenerator.java
+++ b/lab/src/main/java/reedquay/lab/LoadGenerator.java
@@ -39,8 +39,8 @@
  * connections are opened as needed, up to a limit.
  */
 @Command(name = "load", mixinStandardHelpOptions = true,
-        description = "An open, seeded load over sockets, on a gateway or on one with stand-in members in this"
-        + " process.")
+        description = "Sends a seeded open-loop load over sockets to a running gateway, or to one with stand-in members"
+        + " in this process.")
 final class LoadGenerator implements Callable<Integer> {
     @Option(names = "--at", paramLabel = "HOST:PORT", description = "a running gateway; default: one is"
             + " started in this process")
@@ -306,6 +306,7 @@
             }
         }
 
+        /** Sends the request that has waited longest for a connection; without one, this connection becomes idle. */
         private void takeWaitingRequest() {
             Request next = waitingRequests.pollFirst();
             if (next != null) {
--- a/lab/src/main/java/reedquay/lab/RpcTrace.java
+++ b/lab/src/main/java/reedquay/lab/RpcTrace.java
@@ -28,7 +28,7 @@
     private static final Pattern MEMBER_STATE = Pattern.compile("(\\S+) (primary )?(UNKNOWN|REPLICA|PRIMARY) (\\w+).*");
     private static final long DAY_MILLIS = 86_400_000;
 
-    /** One attempt of an RPC, which one gateway accepted. Times count from the first line of all logs. */
+    /** One attempt of an RPC, accepted by one gateway. Times count from the first line of all logs. */
     static final class Attempt {
         final String method;
         final int group;
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Returns the time since the first line. A time earlier by more than half a day is taken as one after midnight. */
+    /** Returns the time since the first line. A time over half a day before that counts as one after midnight. */
     private long millisSinceFirst(long millisOfDay) {
         if (firstMillis == Long.MIN_VALUE) {
             firstMillis = millisOfDay;
--- a/lab/src/main/java/reedquay/lab/TraceSummary.java
+++ b/lab/src/main/java/reedquay/lab/TraceSummary.java
@@ -180,7 +180,7 @@
         return attempts.stream().filter(condition::apply).count();
     }
 
-    /** Returns each distinct word with its number of occurrences. */
+    /** Returns the distinct words, each with its number of occurrences, separated by commas. */
     private static String countByWord(Stream<String> words) {
         Map<String, Integer> counts = new TreeMap<>();
         words.forEach(w -> counts.merge(w, 1, Integer::sum));
