--- a/lab/src/main/java/reedquay/fair/DoorCost.java
+++ b/lab/src/main/java/reedquay/fair/DoorCost.java
@@ -18,14 +18,14 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import reedquay.core.CallOut;
-import reedquay.core.RoutingEngine;
-import reedquay.core.RoutingActions;
 import reedquay.core.ListedMember;
+import reedquay.core.LoadReport;
 import reedquay.core.Member;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.LoadReport;
 import reedquay.core.Role;
+import reedquay.core.RoutingActions;
+import reedquay.core.RoutingEngine;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
 import reedquay.core.Stage;
@@ -63,12 +63,12 @@
             actions.sendCallOut(callOut, 0);
         }
 
-        @Override public void callOutEnded(CallOut callOut, Outcome outcome, long took, boolean ended, long position,
+        @Override public void callOutEnded(CallOut callOut, Outcome outcome, long latency, boolean ended, long position,
                 Role role, LoadReport report) { }
 
         @Override public void connectionReady(CallOut callOut) { }
 
-        @Override public void probeEnded(Member m, Outcome outcome, long took, LoadReport report) { }
+        @Override public void probeEnded(Member probedMember, Outcome outcome, long latency, LoadReport report) { }
 
         @Override public void clientGone(Rpc rpc) { }
 
@@ -81,7 +81,7 @@
 
         @Override public void sendCallOut(CallOut callOut, long limit) { }
 
-        @Override public void pushBack(Rpc rpc, long after) { }
+        @Override public void pushBack(Rpc rpc, long retryAfter) { }
 
         @Override public void scheduleWakeUp(long delay) { }
 
@@ -90,7 +90,7 @@
         @Override public void log(String line) { }
     }
 
-    /** One RPC and its answer without overload; door: NONE without admission control, DOOR with it. */
+    /** One RPC and its answer without overload; the parameter door is NONE without admission control, DOOR with it. */
     @State(Scope.Thread)
     public static class Calm {
         @Param({"NONE", "DOOR"})
@@ -139,6 +139,7 @@
         }
     }
 
+    /** The time of one RPC from arrival to answer without overload. */
     @Benchmark public Rpc calm(Calm calm) { return calm.serveOne(); }
 
     /** A number of waiting flows with one entry each; serves one entry and adds one. */
@@ -202,7 +203,9 @@
         }
     }
 
+    /** The time to serve and add one entry, with FairScheduler. */
     @Benchmark public AdmissionEntry queued(Queued queued) { return queued.serveAndRefill(); }
 
+    /** The time to serve and add one entry, with the JDK's maps and queues. */
     @Benchmark public AdmissionEntry queuedInMaps(Queued queued) { return queued.serveAndRefillMaps(); }
 }
