--- a/src/main/java/reedquay/sim/LineReader.java
+++ b/src/main/java/reedquay/sim/LineReader.java
@@ -6,8 +6,8 @@
 
 /**
  * Reads the fields of one line, separated by blanks, in order. Each method reads the next field; expected describes it
- * for the message of the MalformedLineException that is thrown if the field is missing or malformed. "-" stands for an
- * absent value.
+ * for the message of the MalformedLineException that is thrown if the field is missing or malformed, which also quotes
+ * the line. "-" stands for an absent value.
  */
 final class LineReader {
     private final String line;
