--- a/src/main/java/reedquay/sim/SimGateway.java
+++ b/src/main/java/reedquay/sim/SimGateway.java
@@ -258,9 +258,9 @@
         out.append(callOut.rpc.callOuts.indexOf(callOut)).append('\n');
     }
 
-    @Override public void pushBack(Rpc rpc, long retryAfter) {
+    @Override public void pushBack(Rpc rpc, long after) {
         out.append("PUSH_BACK ").append(rpc.id).append(' ');
-        LineReader.appendMillis(out, retryAfter);
+        LineReader.appendMillis(out, after);
         out.append('\n');
         rpc.ended = true;
         forget(rpc);
