--- a/src/test/java/reedquay/route/RouterTest.java
+++ b/src/test/java/reedquay/route/RouterTest.java
@@ -840,7 +840,7 @@
 
     /** A method without a soft deadline, and a histogram with a unit of zero, led to a division by zero. */
     @Test void zeroSoftDeadlineAndZeroUnitCauseNoDivisionByZero() {
-        Latency zeroUnit = new Latency(0);
+        LatencyHistogram zeroUnit = new LatencyHistogram(0);
         zeroUnit.add(7);
         assertTrue(zeroUnit.mean(5) > 0);
         TestFront front = withAnswersOnly(1, "r");
