--- a/src/main/java/reedquay/fair/AdmissionController.java
+++ b/src/main/java/reedquay/fair/AdmissionController.java
@@ -640,7 +640,8 @@
     }
 
     private LatencyHistogram costsOf(Method method) {
-        return costsByMethod.computeIfAbsent(method, x -> new LatencyHistogram(Math.max(1, shortestSoftDeadline / 256)));
+        return costsByMethod.computeIfAbsent(method,
+                x -> new LatencyHistogram(Math.max(1, shortestSoftDeadline / 256)));
     }
 
     private long clientKey(Hasher64 seededHasher, Rpc rpc) {
