--- a/src/test/java/reedquay/route/RouterTest.java
+++ b/src/test/java/reedquay/route/RouterTest.java
@@ -3,10 +3,11 @@
 import static org.junit.jupiter.api.Assertions.*;
 import static reedquay.route.TestFront.*;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import reedquay.core.*;
 
-/** Tests of single decisions of the Router, each on a few inputs in simulated time. */
+/** Tests single decisions of the Router, each on a few inputs in simulated time. */
 class RouterTest {
     private final TestFront front = TestFront.withTwoReplicas();
 
@@ -92,24 +93,24 @@
     }
 
     /**
-     * A member that resets connections but lives on was taken for dead, then for cold after its return, and so got too
-     * little.
+     * Prevents a member that resets connections but lives on from getting too little traffic, which happens when it is
+     * taken for dead and, after its return, for cold.
      */
     @Test void memberRegainsFullTrafficAfterAReset() {
         Rpc first = front.arrive(ANY, 0);
         Member member = front.lastCallOut(first).member;
         front.answer(front.lastCallOut(first), Outcome.RESET, LoadReport.NO_POSITION, Role.UNKNOWN);
         front.advance(1000);
-        int back = 0;
+        int servedAfterReset = 0;
         for (int i = 0; i < 20; i++) {
-            back += front.serve(ANY) == member ? 1 : 0;
+            servedAfterReset += front.serve(ANY) == member ? 1 : 0;
         }
-        assertTrue(back > 5);
+        assertTrue(servedAfterReset > 5);
     }
 
     /**
-     * Malformed answers and pooled connections that broke made the gateway back off from one member after the other,
-     * though the members were fine.
+     * Prevents the gateway from backing off from one healthy member after the other, which happens when malformed
+     * answers and broken pooled connections count against the member. After a reset it does back off.
      */
     @Test void malformedAnswerOrStaleConnectionCausesNoBackOff() {
         for (Outcome outcome : new Outcome[] {Outcome.SPOILT, Outcome.STALE, Outcome.RESET}) {
@@ -122,8 +123,8 @@
     }
 
     /**
-     * When members are replaced all day, those that are gone were kept for ever, and the budget of a cold member was
-     * computed from the number of all members that ever were.
+     * Prevents a leak, which happens when members are replaced all day and those that are gone are kept for ever. The
+     * budget of a cold member would then be computed from the number of all members that ever were.
      */
     @Test void goneMembersAreForgottenOnceUnused() {
         front.answer(front.lastCallOut(front.arrive(WRITE, 0)), Outcome.OK, front.now, Role.PRIMARY);
@@ -157,7 +158,8 @@
     }
 
     /**
-     * A list names an old primary for a while. With no replica left, a session read was sent there and got stale data.
+     * Prevents stale session reads, which happen when a list still names an old primary, no replica is left, and the
+     * listed primary is used before it has reported its role.
      */
     @Test void onlyAPrimaryThatReportedItsRoleServesSessionReads() {
         front.runBatch(() -> front.listMembers(ListedMember.ListKind.CHANGES,
@@ -171,8 +173,8 @@
     }
 
     /**
-     * Of a hundred gateways with little traffic, the number that send a read to the primary. The replica's last report,
-     * reportAgeMillis ago, showed a lag of lagMillis; the primary took writeMillis for a write.
+     * Returns how many of a hundred gateways with little traffic send a read to the primary. The replica's last report,
+     * reportAgeMillis before the read, showed a lag of lagMillis; the primary took writeMillis for a write.
      */
     private static int gatewaysReadingFromPrimary(boolean probesReportPositions, Role reportedRole, long lagMillis,
             long reportAgeMillis, long writeMillis, Method method) {
@@ -180,6 +182,7 @@
                 method, false);
     }
 
+    /** The same, where the read is a retry or a first attempt. */
     private static int gatewaysReadingFromPrimary(boolean probesReportPositions, Role reportedRole, long lagMillis,
             long reportAgeMillis, long writeMillis, Method method, boolean retry) {
         int readsFromPrimary = 0;
@@ -205,8 +208,8 @@
     }
 
     /**
-     * Where each gateway gets few answers, their positions are too old to show which replicas are fresh enough, and all
-     * bounded reads would be pushed back.
+     * Prevents all bounded reads from being pushed back, which happens where each gateway gets few answers, whose
+     * positions are too old to show which replicas are fresh enough.
      */
     @Test void boundedReadGoesToFastPrimaryOnlyWhenReplicaLagIsUnknown() {
         assertTrue(gatewaysReadingFromPrimary(false, Role.PRIMARY, 10, 1000, 60, BOUNDED) > 80);
@@ -233,8 +236,8 @@
     }
 
     /**
-     * Where probes report nothing, only a write would learn the role of a listed primary. Reads that accept any lag are
-     * sent there too, until the role is known.
+     * Prevents the role of a listed primary from staying unknown until the next write, which happens where probes
+     * report nothing. Reads that accept any lag are sent there too, until the role is known.
      */
     @Test void readsOfAnyLagLearnTheRoleOfAnUnknownPrimary() {
         int sentToPrimary = 0;
@@ -248,7 +251,7 @@
     }
 
     /**
-     * Where gone members stay usable, a list may call live members gone. Prevents their loss: they are kept, unless
+     * Prevents the loss of live members that a list calls gone. Where gone members stay usable they are kept, unless
      * ejected for long.
      */
     @Test void goneMemberIsKeptWhereItStaysUsable() {
@@ -276,7 +279,10 @@
         assertEquals(2, rpc.callOuts.size());
     }
 
-    /** A hung member still answers probes, so each gateway sent it one trial request after the other. */
+    /**
+     * Prevents each gateway from sending one trial request after the other to a hung member, which happens because such
+     * a member still answers probes.
+     */
     @Test void trialsOfASilentMemberGrowRarerThoughProbesSucceed() {
         int early = 0, late = 0;
         for (int i = 0; i < 300; i++) {
@@ -294,7 +300,10 @@
         assertTrue(early > 1 && late <= 2, "sent to the silent member at first " + early + ", later " + late);
     }
 
-    /** A member that rejects work at once looks fast and idle, so it drew ever more call-outs. */
+    /**
+     * Prevents a member that rejects work at once from drawing ever more call-outs, which happens because it looks fast
+     * and idle.
+     */
     @Test void gatewayBacksOffFromAMemberThatRejectsWork() {
         Rpc first = front.arrive(ANY, 0);
         Member full = front.lastCallOut(first).member;
@@ -305,8 +314,9 @@
     }
 
     /**
-     * Writes were held although the gateway backed off from the primary for longer than that, and pushed back only when
-     * half of their time had passed.
+     * Prevents writes from being held in vain, which happens when the gateway backs off from the primary for longer
+     * than a write may be held: they would be pushed back only when half of their time has passed. A write that arrives
+     * later in the back-off is held, and sent at its end.
      */
     @Test void writeIsPushedBackAtOnceWhenThePrimaryBacksOffBeyondItsHold() {
         for (int i = 0; i < 5; i++) {
@@ -324,8 +334,8 @@
     }
 
     /**
-     * The concurrency limit of a member that is slow even without a queue was reduced, though fewer call-outs do not
-     * make it faster.
+     * Prevents a needless reduction of the concurrency limit of a member that is slow even without a queue: fewer
+     * call-outs do not make it faster.
      */
     @Test void slowMemberWithoutAQueueKeepsItsConcurrencyLimit() {
         for (int gatewayCount : new int[] {2, 100}) {
@@ -342,7 +352,7 @@
         }
     }
 
-    /** Retries whose soft deadline had passed took the capacity that first attempts needed. */
+    /** Prevents retries whose soft deadline has passed from taking the capacity that first attempts need. */
     @Test void retriedReadsAreShedUnderOverload() {
         front.reportPosition("r1", 500);
         front.reportPosition("r2", 500);
@@ -364,8 +374,8 @@
     }
 
     /**
-     * With many gateways, each one's part of a tenant's quota is less than one RPC, and every read was taken to exceed
-     * it.
+     * Prevents every read of a tenant from being taken to exceed its quota, which happens with many gateways, where
+     * each one's part of the quota is less than one RPC.
      */
     @Test void quotaBelowOneRpcStillAdmitsARead() {
         TestFront front = new TestFront(true, true, true, false, 0, 100);
@@ -385,7 +395,10 @@
         assertTrue(front.pushedBack.contains(read));
     }
 
-    /** A write that was sent just before its deadline had to be aborted, where it could have been pushed back. */
+    /**
+     * Prevents a write that could be pushed back from being aborted, which happens when it is sent just before its
+     * deadline.
+     */
     @Test void noCallOutIsSentTooLateForItsAnswer() {
         Rpc write = front.arrive(WRITE, 0);
         while (!front.inFlight.isEmpty()) {
@@ -396,7 +409,10 @@
         assertTrue(front.pushedBack.contains(write) && front.now < write.deadline);
     }
 
-    /** One RPC in each window from each of a hundred gateways overloaded a cold member. */
+    /**
+     * Prevents the overload of a cold member (rule 4), which happens when each of a hundred gateways sends it one RPC
+     * in each window.
+     */
     @Test void coldMemberGetsFewCallOutsFromAllGatewaysTogether() {
         int sent = 0;
         for (int index = 0; index < 100; index++) {
@@ -409,10 +425,13 @@
             }
             sent += front.inFlight.size();
         }
-        assertTrue(sent > 0 && sent < 20, "sent " + sent);
+        assertTrue(sent > 0 && sent < 20, "call-outs sent: " + sent);
     }
 
-    /** While reports came late, every read sent another probe, which found the same old position. */
+    /**
+     * Prevents every read from sending another probe, which happens while reports come late: each probe finds the same
+     * old position.
+     */
     @Test void memberWithLateReportsIsProbedRarely() {
         TestFront front = new TestFront(true, false, true, false);
         front.runBatch(() -> front.listMembers(ListedMember.ListKind.FULL, front.up("p", true), front.up("r1", false)));
@@ -425,7 +444,10 @@
         assertTrue(front.actionLog.stream().filter(d -> d.endsWith("probe r1")).count() < 10);
     }
 
-    /** The call-outs in flight of one gateway say little about the load of a member that many gateways use. */
+    /**
+     * Prevents the selection of a busy member, which happens when a gateway goes by its own call-outs in flight: they
+     * say little about the load of a member that many gateways use.
+     */
     @Test void memberThatReportsManyCallOutsInFlightIsSelectedLess() {
         int sentToBusy = 0;
         for (int i = 0; i < 60; i++) {
@@ -437,8 +459,8 @@
     }
 
     /**
-     * A gateway that gets an answer from a member only every few seconds kept sending to it while other gateways had
-     * overloaded it. Only the load report shows that.
+     * Prevents call-outs to a member that other gateways have overloaded, which happen where a gateway gets an answer
+     * from it only every few seconds. Only the load report shows the overload.
      */
     @Test void memberThatReportsBusyCoresIsAvoidedWhenItsLastAnswerIsOld() {
         front.advance(2000);
@@ -467,7 +489,10 @@
         }
     }
 
-    /** A list called live members gone, and the Router stopped using them even where gone members stay usable. */
+    /**
+     * Prevents the loss of live members that a list calls gone: where gone members stay usable they still serve reads.
+     * A primary that is gone gets no writes in either case.
+     */
     @Test void goneMembersServeReadsWhereTheyStayUsable() {
         for (boolean staysUsable : new boolean[] {false, true}) {
             TestFront front = withTwoReplicas(staysUsable);
@@ -482,7 +507,10 @@
         }
     }
 
-    /** A group without reads never got its primary back after it had hung, since only reads were trial requests. */
+    /**
+     * Prevents a group without reads from never getting its primary back after it has hung, which happens when only
+     * reads are trial requests.
+     */
     @Test void ejectedPrimaryRecoversByATrialWriteWithoutReads() {
         front.arrive(WRITE, 0);
         front.advance(1500);
@@ -497,12 +525,12 @@
         }
         assertEquals("p", front.inFlight.get(0).member.id);
         assertEquals(1, front.actionLog.stream().filter(d -> d.endsWith("close idle p")).count(),
-                "once, when the ejection lasts");
+                "idle connections are closed once, when the ejection lasts");
         front.answer(front.inFlight.get(0), Outcome.OK, front.now, Role.PRIMARY);
         assertEquals("p", front.inFlight.get(0).member.id, "the writes that were held are sent");
     }
 
-    /** Writes were held for a draining primary, though the group had a new primary. */
+    /** Prevents writes from being held for a draining primary though the group has a new primary. */
     @Test void drainingPrimaryIsNoLongerPrimary() {
         front.answer(front.lastCallOut(front.arrive(WRITE, 0)), Outcome.OK, front.now, Role.PRIMARY);
         front.runBatch(() -> front.listMembers(ListedMember.ListKind.CHANGES,
@@ -515,7 +543,10 @@
         assertEquals(other, front.lastCallOut(front.arrive(WRITE, 0)).member.id);
     }
 
-    /** A fresh read was sent to a member that reported itself a replica while the connection was being established. */
+    /**
+     * Prevents a fresh read from being sent to a member that reports itself a replica while the connection to it is
+     * being established.
+     */
     @Test void freshReadIsCancelledWhenItsPrimaryIsDemotedBeforeTheSend() {
         front.runBatch(() -> front.router.probeEnded(front.member("p"), Outcome.OK, MS,
                 new LoadReport(front.now, Role.PRIMARY, -1, -1, -1)));
@@ -528,8 +559,9 @@
     }
 
     /**
-     * While a call-out waited for its connection, the member began to drain, restarted or came to lag too far; the
-     * call-out was sent nevertheless. The cases: no change, draining, listed as up again, older position.
+     * Prevents a call-out from being sent to a member that began to drain, restarted or came to lag too far while the
+     * call-out waited for its connection. The cases by index: no change (0), draining (1), draining and then up again
+     * (2), a bounded read whose reported position has become too old (3).
      */
     @Test void callOutIsCheckedAgainAfterWaitingForItsConnection() {
         for (int i = 0; i < 4; i++) {
@@ -562,13 +594,17 @@
     }
 
     @Test void rpcOfUnknownGroupOrMethodIsPushedBack() {
-        Rpc stray = new Rpc(99, 42, null, front.now + MS, false, 0, null, ANY);
-        Rpc unknown = new Rpc(98, 1, null, front.now + MS, false, 0, null, null);
-        front.runBatch(() -> front.router.rpcArrived(stray));
-        front.runBatch(() -> front.router.rpcArrived(unknown));
+        Rpc unknownGroup = new Rpc(99, 42, null, front.now + MS, false, 0, null, ANY);
+        Rpc unknownMethod = new Rpc(98, 1, null, front.now + MS, false, 0, null, null);
+        front.runBatch(() -> front.router.rpcArrived(unknownGroup));
+        front.runBatch(() -> front.router.rpcArrived(unknownMethod));
         assertEquals(2, front.pushedBack.size());
     }
 
+    /**
+     * A front that is one of a hundred gateways and learns positions from answers only, with the primary p and the
+     * given replicas.
+     */
     private static TestFront withAnswersOnly(int index, String... replicas) {
         TestFront front = new TestFront(true, true, false, false, index, 100);
         front.runBatch(() -> {
@@ -581,8 +617,8 @@
     }
 
     /**
-     * One replica that was reported to lag stopped reads from the primary for its whole group, though the lag of the
-     * other replica was unknown.
+     * Prevents one replica that was reported to lag from stopping reads from the primary for its whole group, though
+     * the lag of the other replica is unknown.
      */
     @Test void laggingReplicaDoesNotStopPrimaryReadsForUnknownOnes() {
         TestFront front = withAnswersOnly(1, "r1", "r2");
@@ -598,28 +634,34 @@
         assertEquals("p", front.lastCallOut(read).member.id, "the other replica never reported a position");
     }
 
-    /** A concurrency limit of one at each of a hundred gateways kept a queue of a hundred at a slow member. */
+    /**
+     * Prevents a standing queue of a hundred call-outs at a slow member, which happens when each of a hundred gateways
+     * keeps a concurrency limit of one.
+     */
     @Test void manyGatewaysBackOffFromAMemberWithLateAnswers() {
         TestFront front = withAnswersOnly(1, "r");
         front.answer(front.lastCallOut(front.arrive(WRITE, 0)), Outcome.OK, front.now, Role.PRIMARY);
         for (int i = 0; i < 80; i++) {
             front.arrive(ANY, 0);
             front.advance(100);
-            for (Member probed : java.util.List.copyOf(front.probes)) {
+            for (Member probed : List.copyOf(front.probes)) {
                 front.probes.remove(probed);
                 front.runBatch(() -> front.router.probeEnded(probed, Outcome.OK, MS, LoadReport.NONE));
             }
-            for (CallOut call : java.util.List.copyOf(front.inFlight)) {
+            for (CallOut call : List.copyOf(front.inFlight)) {
                 if (front.now - call.sentAt >= 500 * MS) { // later than its soft deadline
                     front.answer(call, Outcome.OK, front.now, call.member.id.equals("p") ? Role.PRIMARY : Role.REPLICA);
                 }
             }
         }
         long sent = front.actionLog.stream().filter(d -> d.contains("call out") && d.endsWith(" r")).count();
-        assertTrue(sent >= 2 && sent < 10, "sent " + sent);
+        assertTrue(sent >= 2 && sent < 10, "call-outs sent: " + sent);
     }
 
-    /** The role of a slow primary stayed unknown, since it answered no read, and read after read was sent to it. */
+    /**
+     * Prevents read after read from being sent to a slow primary, which happens when it answers none of them, so that
+     * its role stays unknown.
+     */
     @Test void readsLearnTheRoleOfAnUnknownPrimaryOnce() {
         int sentToPrimary = 0;
         TestFront front = withAnswersOnly(3, "r");
@@ -637,8 +679,8 @@
     }
 
     /**
-     * The budget of cold members fell with the number of answers while many members were replaced, and what was unused
-     * in one window was lost.
+     * Prevents the budget of cold members from falling with the number of answers while many members are replaced, and
+     * the unused budget of one window from being lost.
      */
     @Test void coldBudgetFollowsPeakAnswersAndIsCarriedOver() {
         TestFront front = new TestFront(true, true, false, false, 1, 10);
@@ -661,10 +703,11 @@
             sent += (int) read.callOuts.stream().filter(c -> c.member.id.equals("r")).count();
             read.callOuts.forEach(c -> front.answer(c, Outcome.OK, front.now, Role.UNKNOWN));
         }
-        assertTrue(sent >= 3 && sent <= 8, "between the cold share of ten and three quarters of the multiple: " + sent);
+        assertTrue(sent >= 3 && sent <= 8,
+                "between the cold share of ten answers and three quarters of the multiple: " + sent);
     }
 
-    /** Reads whose clients give up before the usual answer loaded members that other reads needed. */
+    /** Prevents reads whose clients give up before the usual answer from loading members that other reads need. */
     @Test void readThatCannotBeAnsweredByItsDeadlineIsNotSent() {
         TestFront front = withTwoReplicas();
         for (int i = 0; i < 40; i++) {
@@ -680,8 +723,8 @@
     }
 
     /**
-     * Reads that were sent as trial requests kept a slow primary overloaded. Reads are trial requests only where no
-     * replica is left; otherwise only writes are.
+     * Prevents a slow primary from staying overloaded, which happens when reads are sent to it as trial requests. Reads
+     * are trial requests only where no replica is left; otherwise only writes are.
      */
     @Test void readsAreTrialsOfAnEjectedPrimaryOnlyWithoutReplicas() {
         for (boolean alone : new boolean[] {false, true}) {
@@ -700,8 +743,8 @@
     }
 
     /**
-     * A slow member whose clients gave up before the answers got as many call-outs as the others, since cancelled ones
-     * did not count for its latency.
+     * Prevents a slow member whose clients give up before the answers from getting as many call-outs as the others,
+     * which happens when cancelled call-outs do not count for its latency.
      */
     @Test void cancelledCallOutsRaiseAMembersLatency() {
         TestFront front = new TestFront(true, true, false, false);
@@ -720,17 +763,17 @@
             }
             front.answer(call, isSlow ? Outcome.CANCELLED : Outcome.OK, front.now, Role.UNKNOWN);
         }
-        assertTrue(sentToSlow > 0 && sentToSlow < 30, "sent to the slow member, of a hundred: " + sentToSlow);
+        assertTrue(sentToSlow > 0 && sentToSlow < 30, "call-outs to the slow member, of a hundred: " + sentToSlow);
     }
 
-    /** The concurrency limit of a member that had recovered stayed below one. */
+    /** Prevents the concurrency limit of a member that has recovered from staying below one. */
     @Test void recoveredMemberRegainsItsConcurrencyLimit() {
         TestFront front = withAnswersOnly(1, "r");
         front.answer(front.lastCallOut(front.arrive(WRITE, 0)), Outcome.OK, front.now, Role.PRIMARY);
         for (int i = 0; i < 600; i++) {
             front.arrive(ANY, 0);
             front.advance(i < 50 ? 500 : 10);
-            for (CallOut call : java.util.List.copyOf(front.inFlight)) {
+            for (CallOut call : List.copyOf(front.inFlight)) {
                 front.answer(call, Outcome.OK, front.now, call.member.id.equals("p") ? Role.PRIMARY : Role.REPLICA);
             }
             front.advance(i < 50 ? 0 : 100);
@@ -739,10 +782,10 @@
         long sent = front.actionLog.stream()
                 .filter(d -> d.contains(" call out") && Long.parseLong(d.split(" ")[0]) > since)
                 .count();
-        assertTrue(sent > 80, "sent, of the last hundred: " + sent);
+        assertTrue(sent > 80, "call-outs sent, of the last hundred: " + sent);
     }
 
-    /** Reads that were sent to a cold primary used up its budget before its writes came. */
+    /** Prevents reads from using up the budget of a cold primary before its writes come. */
     @Test void readsUseOnlyTheColdPrimaryBudgetThatWritesLeave() {
         int readsFromPrimary = 0;
         for (int index = 0; index < 100; index++) {
@@ -763,8 +806,8 @@
     }
 
     /**
-     * The budget of a cold primary goes by what primaries answer, the busiest members. An unused budget is carried
-     * over, up to three quarters of the multiple; without a cap it would overload the primary at once.
+     * The budget of a cold primary follows what primaries answer, since they are the busiest members. Unused budget is
+     * carried over, up to three quarters of the multiple; without a cap it would overload the primary at once.
      */
     @Test void coldPrimaryBudgetFollowsPrimariesAndIsCapped() {
         TestFront front = new TestFront(true, true, false, false, 1, 10);
@@ -784,7 +827,7 @@
                 front.entry("p", ListedMember.Phase.UP, true, startedAt)));
         front.advance(1001); // lets the call-outs to the earlier process leave the window
         int first = coldWrites(front);
-        assertTrue(first >= 4 && first <= 7, "the cold share of eighteen, and a little more: " + first);
+        assertTrue(first >= 4 && first <= 7, "the cold share of eighteen answers, and a little more: " + first);
         front.advance(1001);
         for (int i = 0; i < 6; i++) {
             front.arrive(FRESH, 0); // checks the primary's budget
@@ -792,23 +835,24 @@
             front.advance(1001);
         }
         int later = coldWrites(front);
-        assertTrue(later <= 27, "at most three quarters of the multiple, at its share of that time: " + later);
+        assertTrue(later <= 27, "at most three quarters of the multiple, by the cold share at that time: " + later);
     }
 
+    /** Submits sixty writes, answers each call-out at once and returns the number of call-outs. */
     private static int coldWrites(TestFront front) {
         int sent = 0;
         for (int i = 0; i < 60; i++) {
             Rpc write = front.arrive(WRITE, 0);
             sent += write.callOuts.size();
-            java.util.List.copyOf(write.callOuts).forEach(c -> front.answer(c, Outcome.OK, front.now, Role.PRIMARY));
+            List.copyOf(write.callOuts).forEach(c -> front.answer(c, Outcome.OK, front.now, Role.PRIMARY));
         }
         return sent;
     }
 
     /**
-     * Gateways with little traffic have served session reads well and bounded reads hardly. Half of them then get a
-     * bounded read (index 0), the others a session read (index 1): bounded reads go to the primary more often, but not
-     * they alone.
+     * Gateways with little traffic have served session reads well and hardly any bounded reads. Half of them then get a
+     * bounded read (index 0), the others a session read (index 1): more bounded reads than session reads go to the
+     * primary, but some of each do.
      */
     @Test void primaryReadsFavourTheLeastServedMethodButServeAll() {
         for (long writeMillis : new long[] {60, 160}) {
@@ -834,11 +878,14 @@
                 readsFromPrimary[index % 2] += read.callOuts.isEmpty() ? 0 : 1;
             }
             assertTrue(readsFromPrimary[0] > 2 * readsFromPrimary[1] && readsFromPrimary[1] > 0, writeMillis + " ms: "
-                    + readsFromPrimary[0] + " and " + readsFromPrimary[1]);
+                    + readsFromPrimary[0] + " bounded reads and " + readsFromPrimary[1] + " session reads");
         }
     }
 
-    /** A method without a soft deadline, and a histogram with a unit of zero, led to a division by zero. */
+    /**
+     * Prevents divisions by zero, which happen with a method without a soft deadline and with a histogram whose unit is
+     * zero.
+     */
     @Test void zeroSoftDeadlineAndZeroUnitCauseNoDivisionByZero() {
         Latency zeroUnit = new Latency(0);
         zeroUnit.add(7);
@@ -855,7 +902,7 @@
         }
     }
 
-    /** The role of a member that moved to another group or restarted was not learnt again by reads. */
+    /** Reads learn the role of a member again after it has moved to another group or restarted. */
     @Test void roleIsLearntAgainAfterAMoveOrRestart() {
         TestFront front = withAnswersOnly(1);
         for (int i = 0; i < 3; i++) {
