--- a/src/test/java/reedquay/route/RulesTest.java
+++ b/src/test/java/reedquay/route/RulesTest.java
@@ -19,13 +19,13 @@
     private static final class RandomizedFront extends TestFront {
         final SplittableRandom random;
         final List<String> ids = List.of("a", "b", "c", "d", "e");
-        final Map<Member, Long> truePositions = new HashMap<>(); // what its answers and probes report
-        final Map<Member, Long> closedAt = new HashMap<>(); // when it was listed as draining or gone
+        final Map<Member, Long> truePositions = new HashMap<>(); // what answers and probes report
+        final Map<Member, Long> closedAt = new HashMap<>(); // when the member was listed as draining or gone
         final Map<Member, Long> startedAt = new HashMap<>(); // process start of a cold member, as listed
-        final Set<Member> reportedPrimaries = new HashSet<>(); // whose last reported role is primary
+        final Set<Member> reportedPrimaries = new HashSet<>(); // members whose last reported role is primary
         final Map<Rpc, Long> arrivedAt = new LinkedHashMap<>();
         final Map<CallOut, Outcome> outcomes = new HashMap<>();
-        final Map<Member, List<Long>> answerTimes = new HashMap<>(); // of the last cold window
+        final Map<Member, List<Long>> answerTimes = new HashMap<>(); // answers in the last cold window
         long maxAnswersPerWindow; // the most that one member has answered in a window
         final List<CallOut> sent = new ArrayList<>();
         final List<CallOut> awaitingConnection = new ArrayList<>();
@@ -49,18 +49,20 @@
                     ids.stream().map(id -> up(id, id.equals("a"))).toArray(ListedMember[]::new)));
         }
 
+        /** Submits random inputs for the given number of batches, then checks that each RPC was answered. */
         void run(int steps) {
             for (int i = 0; i < steps; i++) {
                 advance(random.nextInt(30));
                 advancePositions();
                 runBatch(this::submitInputs);
                 arrivedAt.forEach((rpc, at) -> assertTrue(rpc.ended || now <= rpc.deadline + 20 * MS,
-                        "rule 1: no answer"));
+                        "rule 1: no answer by the deadline"));
             }
             advance(2000);
-            arrivedAt.keySet().forEach(rpc -> assertTrue(rpc.ended, "rule 1: lost"));
+            arrivedAt.keySet().forEach(rpc -> assertTrue(rpc.ended, "rule 1: an RPC was never answered"));
         }
 
+        /** Advances the positions of most members, each to less than 400 ms ago; the primary's is always now. */
         private void advancePositions() {
             for (String id : ids) {
                 if (random.nextInt(4) > 0) {
@@ -70,6 +72,7 @@
             truePositions.put(member(primary), now);
         }
 
+        /** Submits one batch: new RPCs, connections, outcomes, probe results, list changes, departures of clients. */
         private void submitInputs() {
             if (random.nextInt(60) == 0) {
                 primary = ids.get(random.nextInt(ids.size()));
@@ -93,7 +96,7 @@
             for (CallOut callOut : List.copyOf(awaitingConnection)) {
                 if (awaitingConnection.contains(callOut) && random.nextInt(4) == 0) {
                     router.connectionReady(callOut);
-                    assertFalse(awaitingConnection.contains(callOut), "neither sent nor cancelled");
+                    assertFalse(awaitingConnection.contains(callOut), "neither sent nor cancelled once connected");
                 }
             }
             for (CallOut callOut : List.copyOf(inFlight)) {
@@ -104,15 +107,15 @@
                     endWithRandomOutcome(callOut);
                 }
             }
-            for (Member method : List.copyOf(probes)) {
-                probes.remove(method);
-                Role role = method.id.equals(primary) ? Role.PRIMARY : Role.REPLICA;
+            for (Member probed : List.copyOf(probes)) {
+                probes.remove(probed);
+                Role role = probed.id.equals(primary) ? Role.PRIMARY : Role.REPLICA;
                 boolean answered = random.nextInt(4) > 0;
                 boolean reports = answered && settings.positionSources().inProbes();
-                router.probeEnded(method, answered ? Outcome.OK : Outcome.TIMED_OUT, MS,
-                        reports ? new LoadReport(truePositions.get(method), role, -1, -1, -1) : LoadReport.NONE);
+                router.probeEnded(probed, answered ? Outcome.OK : Outcome.TIMED_OUT, MS,
+                        reports ? new LoadReport(truePositions.get(probed), role, -1, -1, -1) : LoadReport.NONE);
                 if (reports && role == Role.PRIMARY) {
-                    reportedPrimaries.add(method);
+                    reportedPrimaries.add(probed);
                 }
             }
             if (random.nextInt(25) == 0) {
@@ -127,6 +130,7 @@
             }
         }
 
+        /** Lists the member as draining, as gone, or as up, the latter as the same or as a new process. */
         private void changeListing(String id) {
             Member member = member(id);
             int choice = random.nextInt(5);
@@ -146,6 +150,7 @@
             }
         }
 
+        /** Ends a call-out as its member could: a write succeeds at the primary only. */
         private void endWithRandomOutcome(CallOut callOut) {
             boolean isPrimary = callOut.member.id.equals(primary);
             Outcome[] possibleOutcomes = callOut.rpc.method.consistency() == Consistency.WRITE && !isPrimary
@@ -171,9 +176,10 @@
                     !reportsRole ? Role.UNKNOWN : isPrimary ? Role.PRIMARY : Role.REPLICA);
         }
 
+        /** Whether the member may have executed the RPC, as far as the Router can know. */
         private boolean mayHaveRun(CallOut callOut) {
             if (awaitingConnection.contains(callOut) || cancelledBeforeSend.contains(callOut)) {
-                return false; // not sent, and cannot be without proceed
+                return false; // not sent yet; only proceed sends it
             }
             return !outcomes.containsKey(callOut) || !outcomes.get(callOut).provesNeverRan;
         }
@@ -194,7 +200,7 @@
         }
 
         @Override public void proceed(CallOut callOut) {
-            assertTrue(awaitingConnection.remove(callOut), "sent twice");
+            assertTrue(awaitingConnection.remove(callOut), "a call-out was sent twice");
             assertEquals(now, callOut.sentAt);
             sentAfterWaiting++;
             callOut.awaitingConnection = false;
@@ -252,7 +258,7 @@
         }
 
         @Override public void pushBack(Rpc rpc, long retryAfter) {
-            assertFalse(rpc.ended, "rule 1: two answers");
+            assertFalse(rpc.ended, "rule 1: a second final answer");
             assertTrue(isPushbackHarmless(rpc), "rule 2: pushed back though a retry may run it twice");
             assertTrue(!callsExplain || router.explain(rpc).contains("; "),
                     "the explanation names each member's state");
@@ -260,11 +266,12 @@
         }
 
         @Override public void abort(Rpc rpc) {
-            assertFalse(rpc.ended, "rule 1: two answers");
+            assertFalse(rpc.ended, "rule 1: a second final answer");
             assertFalse(isPushbackHarmless(rpc), "aborted though a pushback is harmless");
             super.abort(rpc);
         }
 
+        /** Whether a retry by the client could not take effect twice (rule 2). */
         private boolean isPushbackHarmless(Rpc rpc) {
             return rpc.method.retrySafety() == RetrySafety.IDEMPOTENT
                     || rpc.method.deduplicationScope() == DeduplicationScope.ALL
@@ -286,7 +293,8 @@
             sentAfterWaiting += front.sentAfterWaiting;
         }
         assertTrue(sent > 6000 && aborted > 100 && pushedBack > 2000 && sentAfterWaiting > 300,
-                sent + " " + aborted + " " + pushedBack + " " + sentAfterWaiting);
+                "sent " + sent + ", aborted " + aborted + ", pushed back " + pushedBack + ", sent after waiting "
+                + sentAfterWaiting);
     }
 
     /** A Router behind admission control with few places to wait; under overload two RPCs are admitted at a time. */
@@ -296,7 +304,7 @@
         return admission.setNext(new Router(settings, admission));
     }
 
-    /** The rules hold too, and each pushback is harmless: an RPC that waits for admission has never run. */
+    /** The rules hold here too, and each pushback is harmless, since an RPC that waits for admission has never run. */
     @Test void rulesHoldBehindAdmissionControl() {
         int waited = 0;
         int pushedBack = 0;
@@ -310,7 +318,7 @@
                 pushedBack += Integer.parseInt(row[8]) + Integer.parseInt(row[9]) + Integer.parseInt(row[10]);
             }
         }
-        assertTrue(waited > 1000 && pushedBack > 500, "waited " + waited + ", not admitted " + pushedBack);
+        assertTrue(waited > 1000 && pushedBack > 500, "waited " + waited + ", pushed back while waiting " + pushedBack);
     }
 
     @Test void sameInputsGiveSameActionsBehindAdmissionControl() {
@@ -321,7 +329,7 @@
         assertEquals(first.actionLog, second.actionLog);
     }
 
-    /** The actions depend on the inputs only; explain changes none of them. */
+    /** The actions depend on the inputs alone; a call of explain changes none of them. */
     @Test void sameInputsGiveSameActions() {
         RandomizedFront first = new RandomizedFront(5, true, false);
         RandomizedFront second = new RandomizedFront(5, true, false);
--- a/src/test/java/reedquay/route/TestFront.java
+++ b/src/test/java/reedquay/route/TestFront.java
@@ -36,7 +36,7 @@
     final List<Member> probes = new ArrayList<>();
     final List<String> actionLog = new ArrayList<>();
     long now = 1000_000 * MS;
-    long wakeUpAt = Long.MAX_VALUE;
+    long wakeUpAt = Long.MAX_VALUE; // in nanoseconds, as now
     private long lastId;
 
     TestFront(boolean hedging, boolean answersReportPositions, boolean probesReportPositions,
@@ -67,6 +67,7 @@
         router = engineFactory.apply(settings, this);
     }
 
+    /** A front with the primary p and the replicas r1 and r2. */
     static TestFront withTwoReplicas() {
         return withTwoReplicas(false);
     }
@@ -88,6 +89,7 @@
         return members.computeIfAbsent(id, Member::new);
     }
 
+    /** An entry of a member list; startedAt is the start of the member's process in nanoseconds, 0 if unknown. */
     ListedMember entry(String id, ListedMember.Phase phase, boolean primary, long startedAt) {
         return new ListedMember(member(id), "here", "std", 1, phase, primary, 1, startedAt);
     }
@@ -100,6 +102,7 @@
         router.membersListed(kind, List.of(entries));
     }
 
+    /** Runs the inputs as one batch at the current time. */
     void runBatch(Runnable inputs) {
         router.beginBatch(now);
         inputs.run();
@@ -117,10 +120,12 @@
         now = until;
     }
 
+    /** Submits a first attempt without a tenant. */
     Rpc arrive(Method method, long sessionTokenAge) {
         return arrive(method, sessionTokenAge, false, null);
     }
 
+    /** Submits an RPC to group 1, due in 1500 ms; sessionTokenAge is in nanoseconds, 0 for no token. */
     Rpc arrive(Method method, long sessionTokenAge, boolean retry, String tenant) {
         Rpc rpc = new Rpc(++lastId, 1, "s", now + 1500 * MS, retry, sessionTokenAge, tenant, method);
         runBatch(() -> router.rpcArrived(rpc));
@@ -138,10 +143,12 @@
         return rpc.callOuts.get(rpc.callOuts.size() - 1);
     }
 
+    /** Ends a call-out in a batch of its own. */
     void answer(CallOut callOut, Outcome outcome, long position, Role role) {
         runBatch(() -> endCallOut(callOut, outcome, position, role));
     }
 
+    /** Ends a call-out within a batch; position and role are what the answer reports. */
     void endCallOut(CallOut callOut, Outcome outcome, long position, Role role) {
         callOut.ended = true;
         callOut.rpc.ended |= outcome == Outcome.OK;
@@ -149,6 +156,7 @@
         router.callOutEnded(callOut, outcome, now - callOut.sentAt, callOut.rpc.ended, position, role, LoadReport.NONE);
     }
 
+    /** Has a replica answer a probe with a position of the given age. */
     void reportPosition(String id, long ageMillis) {
         runBatch(() -> router.probeEnded(member(id), Outcome.OK, MS,
                 new LoadReport(now - ageMillis * MS, Role.REPLICA, -1, -1, -1)));
