--- a/src/test/java/reedquay/members/MembershipReconcilerTest.java
+++ b/src/test/java/reedquay/members/MembershipReconcilerTest.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import org.junit.jupiter.api.Test;
 import reedquay.core.ListedMember.ListKind;
 import reedquay.core.ListedMember.Phase;
@@ -16,7 +17,7 @@
 import reedquay.members.MembershipReconciler.State;
 import reedquay.members.MembershipReconciler.Watch;
 
-/** Tests single cases, and every order in which two or three agents can report a short history of changes. */
+/** Tests single cases, and each order in which two or three agents can report a short history of changes. */
 class MembershipReconcilerTest {
     private static final long NANOS_PER_MS = 1_000_000;
     private static final long HEARTBEAT_NANOS = 2000 * NANOS_PER_MS;
@@ -46,7 +47,7 @@
             return watch;
         }
 
-        /** The phase in force, which the front must have been given too; null for an unknown member. */
+        /** The phase in force, which must be the one that the front was given too; null for an unknown member. */
         Phase phaseOf(String id) {
             assertEquals(reconciler.phases().get(id), applied.containsKey(id) ? applied.get(id).phase() : null, id);
             return reconciler.phases().get(id);
@@ -104,8 +105,9 @@
     // ---- Single cases ----
 
     /**
-     * A drain binds the gateway as soon as the agent on its machine knows of it. With longer delays between attempts to
-     * connect, the grace could pass while the gateway was not watching the agent.
+     * Prevents new call-outs to a member that has drained for longer than the grace (rule 3). A drain binds the gateway
+     * as soon as the agent on its machine knows of it; with longer delays between attempts to connect, the grace could
+     * pass while the gateway is not watching the agent.
      */
     @Test void reopenDelayIsAtMostHalfTheDrainGrace() {
         List<Long> delays = new ArrayList<>();
@@ -125,6 +127,10 @@
         assertTrue(delays.stream().allMatch(delay -> delay <= 250 * NANOS_PER_MS), delays.toString());
     }
 
+    /**
+     * Prevents a drain from being missed, which happens when the old watch is closed on the first line of a new one
+     * whose agent is behind.
+     */
     @Test void supersededWatchStillCountsAfterTheNewWatchsFirstLine() {
         RecordingFront front = new RecordingFront();
         Watch old = front.watch("a");
@@ -137,6 +143,10 @@
         assertEquals(Phase.DRAINING, front.phaseOf("m"));
     }
 
+    /**
+     * Prevents a drain from being undone, which happens when the full list of an agent that is behind replaces a newer
+     * list.
+     */
     @Test void fullListOfAnOlderGenerationUndoesNoDrain() {
         RecordingFront front = new RecordingFront();
         Watch old = front.watch("a");
@@ -167,6 +177,10 @@
         assertEquals(Phase.DRAINING, front.phaseOf("m"), "within one generation the later phase stands");
     }
 
+    /**
+     * Prevents a drain from being missed, which happens when all updates of a lower generation are ignored: the watch
+     * ahead has reported nothing of that member.
+     */
     @Test void drainReportedOnlyByTheWatchBehindIsApplied() {
         RecordingFront front = new RecordingFront();
         Watch ahead = front.watch("a");
@@ -177,6 +191,7 @@
         assertEquals(Phase.DRAINING, front.phaseOf("m"));
     }
 
+    /** Prevents call-outs to a member that is gone, which happen when an agent that is behind still lists it. */
     @Test void watchBehindDoesNotBringBackAMemberThatIsGone() {
         RecordingFront front = new RecordingFront();
         Watch ahead = front.watch("a");
@@ -190,6 +205,9 @@
         assertEquals(Phase.UP, front.phaseOf("m"));
     }
 
+    /**
+     * Prevents a drain from being undone by a restart, which happens when the first list replaces a newer cached one.
+     */
     @Test void cachedListOutlivesAnOlderFirstList() {
         RecordingFront front = new RecordingFront();
         front.after(1).restore(full(7, draining("m", 1), up("n", 1)));
@@ -200,6 +218,12 @@
         assertEquals(Phase.DRAINING, front.phaseOf("m"));
     }
 
+    /**
+     * Prevents the gateway from ignoring all lists after discovery has lost its state and counts generations from a low
+     * number again. The evidence is one of these: the only open watch stays behind for as long as a watch may be
+     * silent; one connection sends a full list of a lower generation than before; all listed processes are newer than
+     * any in force.
+     */
     @Test void generationsThatStartOverAreAcceptedOnEvidence() {
         RecordingFront front = new RecordingFront();
         Watch first = front.watch("a");
@@ -237,6 +261,7 @@
         assertEquals(3, front.reconciler.generation(), "all processes are newer than any in force");
     }
 
+    /** While another watch is open, a lower generation shows only that the agent of the new one is behind. */
     @Test void noResetWhileAnotherWatchIsOpen() {
         RecordingFront front = new RecordingFront();
         Watch old = front.watch("a");
@@ -255,8 +280,8 @@
 
     @Test void openWatchesAreBoundedAndAReturnReusesAnOpenOne() {
         RecordingFront front = new RecordingFront();
-        Watch a = front.watch("a");
-        front.after(1).updateReceived(a, full(1, up("m", 1)));
+        Watch first = front.watch("a");
+        front.after(1).updateReceived(first, full(1, up("m", 1)));
         front.after(1).moveTo("b"); // move while the watch on b is connecting, and back
         front.after(1).moveTo("a");
         assertEquals(2, front.opened.size(), "the watch on a is still open and is reused");
@@ -278,7 +303,7 @@
             front.after(1).failed(front.opened.get(front.opened.size() - 1));
             long delay = front.reopenAt - front.now;
             assertTrue(delay >= previousDelay && delay <= HEARTBEAT_NANOS && delay > 0,
-                    "grows up to one heartbeat interval");
+                    "the delay grows up to one heartbeat interval");
             previousDelay = delay;
             front.after(delay / NANOS_PER_MS).reopenTimerExpired();
             assertEquals(i + 2, front.opened.size());
@@ -316,9 +341,9 @@
             for (String id : List.of("m", "n")) {
                 Entry before = from < 0 ? null : generations.get(from).get(id);
                 Entry after = generations.get(to).get(id);
-                boolean changed = !java.util.Objects.equals(before, after);
+                boolean changed = !Objects.equals(before, after);
                 for (int generation = from + 1; !netChangesOnly && generation <= to && generation > 0; generation++) {
-                    changed |= !java.util.Objects.equals(generations.get(generation - 1).get(id),
+                    changed |= !Objects.equals(generations.get(generation - 1).get(id),
                             generations.get(generation).get(id));
                 }
                 if (after != null && (full || changed)) {
@@ -338,6 +363,7 @@
         return histories;
     }
 
+    /** Adds each history that starts with the given generations to the list. */
     private static void extend(List<Map<String, Entry>> prefix, List<History> histories) {
         if (prefix.size() == 4) {
             histories.add(new History(List.copyOf(prefix)));
@@ -385,9 +411,11 @@
         long ofTwo = histories().parallelStream().mapToLong(history -> countSchedules(history, 2)).sum();
         long ofThree = histories().parallelStream().mapToLong(history -> countSchedules(history, 3)).sum();
         System.out.println("membership: " + ofTwo + " schedules of two watches and " + ofThree + " of three passed");
-        assertTrue(ofTwo == 585_488 && ofThree > 100_000, ofTwo + " " + ofThree);
+        assertTrue(ofTwo == 585_488 && ofThree > 100_000,
+                "schedules of two watches: " + ofTwo + ", of three: " + ofThree);
     }
 
+    /** Replays every schedule of a history, checks each, and returns their number. */
     private long countSchedules(History history, int maxWatches) {
         long count = 0;
         ArrayDeque<List<Step>> pending = new ArrayDeque<>();
@@ -414,7 +442,7 @@
         int[] reported = new int[maxWatches];
         boolean[] ended = new boolean[maxWatches];
         boolean[] startedWithFullList = new boolean[maxWatches]; // its first update was a full list
-        java.util.Arrays.fill(reported, -1);
+        Arrays.fill(reported, -1);
         watches.add(front.watch("0"));
         int heartbeats = 0;
         int newest = -1;
@@ -445,27 +473,31 @@
         return nextSteps(watches, reported, ended, heartbeats, maxWatches);
     }
 
+    /**
+     * The steps that may come next. With three watches, all but the first report only the last generation, which keeps
+     * the number of schedules small.
+     */
     private static List<Step> nextSteps(List<Watch> watches, int[] reported, boolean[] ended, int heartbeats,
             int maxWatches) {
         List<Step> next = new ArrayList<>();
         int last = watches.size() - 1;
-        for (int i = 0; i <= last; i++) {
-            if (ended[i] || reported[i] == 3) {
+        for (int index = 0; index <= last; index++) {
+            if (ended[index] || reported[index] == 3) {
                 continue;
             }
-            for (int to = reported[i] + 1; to < 4; to++) {
-                if (i == 0 || to == 3 || to >= reported[i] + 1 && maxWatches == 2) {
-                    next.add(new Step('W', i, to));
-                    if (reported[i] < 0 && i > 0) {
-                        next.add(new Step('C', i, to));
+            for (int to = reported[index] + 1; to < 4; to++) {
+                if (index == 0 || to == 3 || to >= reported[index] + 1 && maxWatches == 2) {
+                    next.add(new Step('W', index, to));
+                    if (reported[index] < 0 && index > 0) {
+                        next.add(new Step('C', index, to));
                     }
                 }
             }
-            if (heartbeats < 1 && i == last && i > 0) {
-                next.add(new Step('B', i, 0));
+            if (heartbeats < 1 && index == last && index > 0) {
+                next.add(new Step('B', index, 0));
             }
-            if (i < last) {
-                next.add(new Step('E', i, 0));
+            if (index < last) {
+                next.add(new Step('E', index, 0));
             }
         }
         if (watches.size() < maxWatches && reported[last] >= 0) {
