--- a/src/test/java/reedquay/net/DiscoveryClientTest.java
+++ b/src/test/java/reedquay/net/DiscoveryClientTest.java
@@ -13,6 +13,7 @@
 import java.sql.DriverManager;
 import java.sql.ResultSet;
 import java.sql.SQLException;
+import java.sql.Statement;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -24,8 +25,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Moves discovery to another agent under load, where the second agent is behind the first. The stand-in members record
- * the statements that reach them.
+ * Moves discovery to another agent under load, where the second agent is behind the first. The members are stand-ins
+ * that record the statements that reach them.
  */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class DiscoveryClientTest {
@@ -68,10 +69,11 @@
         members.close();
     }
 
+    /** Sends reads one after the other on one connection for as long as the load is on. */
     private void sendReads() {
         try (Connection connection = DriverManager.getConnection("jdbc:postgresql://" + address.getHostString() + ":"
                 + address.getPort() + "/crm?preferQueryMode=simple&sslmode=disable&user=portal");
-                java.sql.Statement statement = connection.createStatement()) {
+                Statement statement = connection.createStatement()) {
             while (sendingLoad) {
                 try (ResultSet rows = statement.executeQuery("/* id=" + Long.toHexString(nextId.getAndIncrement())
                         + ",c=history,t=acme,d=1000,cluster=1 */ SELECT data FROM facts WHERE code = 'k'")) {
@@ -85,6 +87,7 @@
         }
     }
 
+    /** Waits up to fifteen seconds for the condition. */
     private static void await(BooleanSupplier condition) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
         while (!condition.getAsBoolean()) {
@@ -134,7 +137,10 @@
                 member + " is draining and gets no new statements");
     }
 
-    /** The new agent sends a heartbeat and an older list while the drain is still on its way from the old agent. */
+    /**
+     * Prevents a drain from being missed after a move: the new agent has sent a heartbeat and an older list while the
+     * drain is still on its way from the old agent.
+     */
     @Test void drainFromTheOldAgentIsAppliedAfterTheNewAgentsFirstLine() throws Exception {
         moveToSecondAgent();
         secondAgent.sendBytewise("");
@@ -143,7 +149,10 @@
         assertDrained("two");
     }
 
-    /** The old agent has reported the drain; the new one is behind and answers with its full list. */
+    /**
+     * Prevents a drain from being undone after a move: the old agent has reported it, and the new one, which is behind,
+     * answers with a full list of an older generation.
+     */
     @Test void fullListOfAnOlderGenerationDoesNotUndoADrain() throws Exception {
         firstAgent.sendBytewise(list(6, false, "two draining"));
         assertDrained("two");
@@ -173,7 +182,10 @@
         }
     }
 
-    /** The list cached from before a restart is newer than the first list of an agent that is behind. */
+    /**
+     * Prevents a drain from being undone by a restart: the list cached from before it is newer than the first list of
+     * an agent that is behind.
+     */
     @Test void cachedDrainOutlivesAnOlderFirstList() throws Exception {
         gateway.stop();
         JsonObject restartConfig = config.deepCopy();
@@ -201,7 +213,7 @@
         await(() -> counter("discovery.older") > 0);
         try (Connection connection = DriverManager.getConnection("jdbc:postgresql://" + address.getHostString() + ":"
                 + address.getPort() + "/crm?preferQueryMode=simple&sslmode=disable&user=portal");
-                java.sql.Statement statement = connection.createStatement();
+                Statement statement = connection.createStatement();
                 ResultSet rows = statement.executeQuery("SHOW discovery")) {
             assertTrue(rows.next());
             assertEquals(List.of("leaving", "5", "5"),
--- a/src/test/java/reedquay/net/GatewayTest.java
+++ b/src/test/java/reedquay/net/GatewayTest.java
@@ -11,6 +11,7 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.io.DataInputStream;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -24,13 +25,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.BooleanSupplier;
 import java.util.logging.Handler;
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
-import java.util.concurrent.atomic.AtomicLong;
-import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -39,23 +41,24 @@
 import reedquay.pg.Messages;
 import reedquay.route.Router;
 
-/** A complete gateway on loopback, against the stand-in for members and discovery of the example folder. */
+/** Tests a complete gateway on loopback, with the example folder's stand-in for members and discovery. */
 @Timeout(value = 40, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class GatewayTest {
     private final StandIn standIn = new StandIn(0, 200, "one", "two", "three");
     private final StandIn.Server primary = standIn.server("one");
     private Gateway gateway;
     private InetSocketAddress address;
-    private final AtomicLong nextId = new AtomicLong(); // several clients use it at once
+    private final AtomicLong nextId = new AtomicLong(); // of RPCs; atomic, since several clients run at once
 
     private static JsonObject configuration() {
         try {
             return JsonParser.parseString(Files.readString(Path.of("example/config.json"))).getAsJsonObject();
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
+            throw new UncheckedIOException(e);
         }
     }
 
+    /** Starts a gateway on a free port, with the stand-in's discovery service. */
     private Gateway start(JsonObject config) {
         config.addProperty("listen", "127.0.0.1:0");
         config.addProperty("discovery", "127.0.0.1:" + standIn.discoveryAddress().getPort());
@@ -64,6 +67,7 @@
         return gateway;
     }
 
+    /** Returns a client whose first empty query was answered; starts a gateway if there is none. */
     private Client ready() throws IOException {
         if (gateway == null) {
             start(configuration());
@@ -73,6 +77,7 @@
         return client;
     }
 
+    /** Stops the gateway and checks that its counters account for each RPC and that it counted no broken invariant. */
     @AfterEach void stop() {
         if (gateway != null) {
             gateway.stop().join();
@@ -145,6 +150,9 @@
         }
     }
 
+    /**
+     * The comment that starts a statement: a new id, the method, the time to the deadline, and more fields as given.
+     */
     private String leadingComment(String method, int waitMillis, String moreFields) {
         return "/* id=" + Long.toHexString(0x1000 + nextId.getAndIncrement()) + ",c=" + method + ",t=acme,d="
                 + waitMillis + ",cluster=1" + moreFields + " */ ";
@@ -159,6 +167,7 @@
                 + "') RETURNING data";
     }
 
+    /** Waits up to fifteen seconds for the condition. */
     private static void await(BooleanSupplier condition, String expectation) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
         while (!condition.getAsBoolean()) {
@@ -182,8 +191,8 @@
             assertEquals("T D:v1 C Z", client.ask(writeStatement(3000, "v1")));
             long commit = System.currentTimeMillis();
             String sessionRead = leadingComment("basket", 2000, ",after=" + commit);
-            // held until a replica's answers show that it has replayed the write; goes to the primary where no replica
-            // has been heard for long
+            // the read is held until a replica's answer shows that it has replayed the write, and goes to the primary
+            // if no replica has answered for long
             for (String answer = ""; !answer.equals("T D:v1 C Z"); ) {
                 client.ask(readStatement("history", 1000));
                 answer = client.ask(sessionRead + "SELECT data FROM facts WHERE code = 'k'");
@@ -231,7 +240,10 @@
         }
     }
 
-    /** A write that was never sent has not run: the member refuses the connection, rejects it, or never admits it. */
+    /**
+     * A write that was never sent is pushed back, since it cannot have run: the member rejects the connection, never
+     * completes its startup, or is not listening.
+     */
     @Test void failedConnectionsProveThatNothingRan() throws IOException {
         JsonObject config = configuration();
         for (String fault : List.of("crowded", "mute", "stopped")) {
@@ -248,7 +260,10 @@
         assertEquals(List.of(), primary.statements);
     }
 
-    /** Prevents a write from being aborted as one that may have run, which happens on a connection that broke idle. */
+    /**
+     * Prevents a write from being aborted as one that may have run, which happens when it is sent on a connection that
+     * broke while it was idle.
+     */
     @Test void idleConnectionsAreClosedBeforeTheMembersTimeoutAndNotReusedOnceBroken() throws IOException {
         JsonObject config = configuration();
         config.getAsJsonObject("settings").getAsJsonObject("Allowed").addProperty("Keepalive", 300.0);
@@ -266,11 +281,13 @@
             primary.fault = "reset";
             assertEquals("E:58000 Z", client.ask(writeStatement(300, "d")));
             assertTrue(counter("callout.STALE") == 1 && counter("callout.RESET") >= 1,
-                    "the reused connection, then new ones");
+                    "a stale connection that was reused, then resets of new ones");
         }
     }
 
-    /** Prevents the use of dead connections: a host that vanished leaves its connections open, but silent. */
+    /**
+     * Prevents the use of dead connections, which happens when a host vanishes: its connections stay open, but silent.
+     */
     @Test void idleConnectionsToAnEjectedMemberAreClosed() throws IOException {
         try (Client client = ready(); Client other = new Client().startup()) {
             assertEquals("T D:a C Z", client.ask(writeStatement(3000, "a")));
@@ -338,6 +355,7 @@
         assertEquals(200_000, runs[0]);
     }
 
+    /** RPCs of an unknown group are pushed back as soon as they are read; each still gets its own answer, in order. */
     @Test void manyPipelinedRpcsRejectedAtOnceAreEachAnswered() throws IOException {
         try (Client client = ready()) {
             ByteBuf messages = Unpooled.buffer();
@@ -409,17 +427,21 @@
                         notReading.send(Messages.query(Unpooled.buffer(), "x".repeat(100_000)));
                     }
                 } catch (IOException e) {
-                    // expected: the socket is closed at the end of the test
+                    // expected, since the socket is closed at the end of the test
                 }
             });
             flood.start();
             for (int i = 0; i < 50; i++) {
                 assertEquals("T D: C Z", client.ask(readStatement("history", 1000)));
             }
-            assertTrue(flood.isAlive(), "the gateway read 20 MB of pipelined messages");
+            assertTrue(flood.isAlive(), "the gateway read all 20 MB of pipelined messages");
         }
     }
 
+    /**
+     * Prevents the loss of the member list: a watch that is closed, or that reads a malformed list, is reopened and
+     * asks for the changes since the generation last read. The list in force serves meanwhile.
+     */
     @Test void memberListWatchResumesAfterMovesAndMalformedInput() throws IOException {
         try (Client client = ready()) {
             assertEquals("T D:a C Z", client.ask(writeStatement(3000, "a")));
@@ -638,7 +660,10 @@
         }
     }
 
-    /** A front sends clients once its first empty query is answered, so the gateway must be able to route by then. */
+    /**
+     * Prevents clients from being sent to a gateway that cannot route yet, which happens when their front's first empty
+     * query is answered before the member list is read.
+     */
     @Test void emptyQueryIsAnsweredOnceTheMemberListIsKnown() throws IOException {
         standIn.discoverySilent = true;
         JsonObject config = configuration();
@@ -685,9 +710,9 @@
         }
     }
 
-    /** An RPC can be followed by its id up to the reason of its answer; where the trace is off no line is built. */
+    /** The trace follows an RPC by its id up to the reason for its answer. Where the trace is off, no line is built. */
     @Test void rpcTraceIsLoggedOnlyWhereEnabled() throws IOException {
-        List<String> lines = new java.util.concurrent.CopyOnWriteArrayList<>();
+        List<String> lines = new CopyOnWriteArrayList<>();
         Logger logger = Logger.getLogger("reedquay.trace");
         Handler handler = new Handler() {
             @Override public void publish(LogRecord record) {
@@ -743,7 +768,10 @@
         }
     }
 
-    /** Prevents the kill from coming first, which happened where a longest deadline below 3 s was counted as 3 s. */
+    /**
+     * Prevents the platform's kill from coming before the end of a shutdown, which happens when a longest deadline
+     * below 3 s is counted as 3 s.
+     */
     @Test void shutdownEndsBeforeTheKill() {
         assertTrue(Shutdown.maxDurationNanos(1_000_000_000L) < 1_700_000_000L);
         assertTrue(Shutdown.maxDurationNanos(9_000_000_000L) < 3_700_000_000L);
@@ -760,13 +788,13 @@
             incomplete.send(Messages.query(Unpooled.buffer(), writeStatement(2900, "b")).writeByte('Q').writeInt(99)
                     .writeZero(9));
             await(() -> primary.statements.size() == 2, "both statements reached the primary");
-            assertEquals("E:42601 Z", second.ask(sql), "the id of an RPC that is open");
+            assertEquals("E:42601 Z", second.ask(sql), "the id of an open RPC is rejected");
             huge.send(Unpooled.buffer().writeByte('Q').writeInt(60_000_004));
             assertThrows(IOException.class, () -> {
                 for (int i = 0; i < 600; i++) {
                     huge.socket.getOutputStream().write(new byte[100_000]);
                 }
-            }, "the gateway read 60 MB of a message that is too long");
+            }, "the gateway read all 60 MB of a message that is too long");
             assertEquals("E:58000 Z", client.readAnswer());
             assertEquals("E:08P01 closed", client.readAnswer());
             assertEquals("E:58000 Z", incomplete.readAnswer());
@@ -794,7 +822,10 @@
         }
     }
 
-    /** Hundreds of silent clients are closed for new ones at once; incomplete messages take no memory from others. */
+    /**
+     * Prevents clients that send nothing, or never complete a message, from taking descriptors and memory from others.
+     * Hundreds of silent ones are closed for new ones at once.
+     */
     @Test void silentClientsAndIncompleteMessagesFreeTheirResources() throws IOException {
         JsonObject config = configuration();
         config.getAsJsonObject("limits").addProperty("sockets", 128);
@@ -804,7 +835,7 @@
         List<Client> clients = new ArrayList<>(List.of(ready()));
         for (int i = 0; i < 300; i++) {
             clients.add(new Client());
-            assertTrue(counter("client.open") <= limits.maxClients + 16, "up to sixteen are accepted at once");
+            assertTrue(counter("client.open") <= limits.maxClients + 16, "up to sixteen clients are accepted at once");
         }
         assertNewClientIsServed();
         for (Client client : clients) {
@@ -816,7 +847,8 @@
             Client incomplete = new Client().startup();
             incomplete.send(Unpooled.buffer().writeByte('Q').writeInt(250_000).writeZero(200_000));
             clients.add(incomplete);
-            assertTrue(counter("client.partialbytes") <= (1 << 20) + 300_000, "" + counter("client.partialbytes"));
+            assertTrue(counter("client.partialbytes") <= (1 << 20) + 300_000, "bytes of incomplete messages: "
+                    + counter("client.partialbytes"));
         }
         await(() -> counter("client.closed.partial") > 0, "the longest incomplete messages are rejected");
         assertNewClientIsServed();
@@ -861,7 +893,10 @@
         }
     }
 
-    /** Prevents a cascade, which happens when new sessions are closed before idle ones: they reconnect, and so on. */
+    /**
+     * Prevents a cascade, which happens when new sessions are closed before idle ones: each reconnects as a new session
+     * and so causes the next close.
+     */
     @Test void newSessionIsNotClosedToFreeDescriptors() throws IOException {
         JsonObject config = configuration();
         config.getAsJsonObject("limits").addProperty("sockets", 128);
@@ -909,7 +944,7 @@
         }
     }
 
-    /** Beyond the limit idle sessions are closed, and those with an RPC in flight are not. */
+    /** Beyond the limit, idle sessions are closed and those with an RPC in flight are not. */
     @Test void descriptorsStayUnderTheLimit() throws IOException {
         JsonObject config = configuration();
         config.getAsJsonObject("limits").addProperty("sockets", 128);
@@ -1013,7 +1048,10 @@
         }
     }
 
-    /** Prevents slow first seconds of service, which happen when a JVM on part of a core still has to compile. */
+    /**
+     * Prevents slow first seconds of service, which happen when a JVM that has only part of a core still has to
+     * compile.
+     */
     @Test void warmUpServesEveryMethodManyTimes() throws IOException {
         Map<String, Long> counters = WarmUp.run(configuration().toString());
         assertTrue(counters.getOrDefault("rpc.ok", 0L) > 200, counters.toString());
