--- a/src/test/java/reedquay/fair/AdmissionControllerTest.java
+++ b/src/test/java/reedquay/fair/AdmissionControllerTest.java
@@ -11,21 +11,21 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import reedquay.core.CallOut;
-import reedquay.core.RoutingEngine;
-import reedquay.core.RoutingActions;
 import reedquay.core.ListedMember;
+import reedquay.core.LoadReport;
 import reedquay.core.Member;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
-import reedquay.core.LoadReport;
 import reedquay.core.Role;
+import reedquay.core.RoutingActions;
+import reedquay.core.RoutingEngine;
 import reedquay.core.Rpc;
 import reedquay.core.Settings;
 import reedquay.core.Stage;
 
 /**
- * AdmissionController by itself, between a routing engine that holds each RPC until the test answers it and a front
- * that records the actions.
+ * Tests the AdmissionController by itself, between a routing engine that holds each RPC until the test answers it and a
+ * front that records the actions.
  */
 class AdmissionControllerTest {
     private static final long MS = 1_000_000;
@@ -39,7 +39,7 @@
                 Method.DeduplicationScope.ALL, 0);
     }
 
-    /** A front for the controller, with a clock and an alarm that the test advances. */
+    /** A front for the controller that records its actions, with a simulated clock. */
     private static final class Harness extends Stage implements RoutingEngine {
         final AdmissionController controller;
         final Member member = new Member("m");
@@ -64,12 +64,14 @@
                     List.of(new ListedMember(member, "a", "s", 1, ListedMember.Phase.UP, true, 1, 0))));
         }
 
+        /** Runs the input as one batch at the current time. */
         void runBatch(Runnable input) {
             controller.beginBatch(now);
             input.run();
             controller.endBatch();
         }
 
+        /** Advances the clock and runs the wake-ups that are due. */
         void advance(long millis) {
             long until = now + millis * MS;
             while (alarmAt <= until) {
@@ -88,6 +90,7 @@
             return rpc;
         }
 
+        /** Answers an admitted RPC. */
         void answerOk(Rpc rpc) {
             assertTrue(admitted.remove(rpc));
             CallOut callOut = rpc.callOuts.get(0);
@@ -96,11 +99,13 @@
                     LoadReport.NO_POSITION, Role.UNKNOWN, LoadReport.NONE));
         }
 
-        void reportMemberFull(Rpc rpc) { // the first sign of overload
+        /** Ends a call-out as rejected by its full member, the first sign of overload. */
+        void reportMemberFull(Rpc rpc) {
             runBatch(() -> controller.callOutEnded(rpc.callOuts.get(0), Outcome.FULL, MS, false,
                     LoadReport.NO_POSITION, Role.UNKNOWN, LoadReport.NONE));
         }
 
+        /** The number of RPCs that wait for admission. */
         long waiting() {
             return controller.statisticsTable("ways").stream().skip(1).mapToLong(r -> Long.parseLong(r[4])).sum();
         }
@@ -127,7 +132,7 @@
                     + " ns, more than half of " + (rpc.deadline - arrivedAt.get(rpc)));
         }
 
-        // the last call counts; in whole microseconds, so that an alarm can be early
+        // the last call counts; a clock of whole microseconds can fire a little early
         @Override public void scheduleWakeUp(long delay) { alarmAt = now + delay / 1000 * 1000; }
 
         @Override public void log(String line) { }
@@ -196,6 +201,7 @@
         assertTrue(harness.pushedBack.containsKey(shortTimeout), "pushed back within half of a short timeout");
     }
 
+    /** Prevents an RPC without a client from being admitted, and from taking a place in the queue. */
     @Test void removesWaitingRpcWhoseClientLeaves() {
         Harness harness = new Harness(50).overloaded();
         Rpc abandoned = harness.arrive("a", WRITE, 1500);
@@ -209,16 +215,16 @@
         assertFalse(harness.everAdmitted.contains(abandoned));
     }
 
-    /** A shutdown shortens deadlines: waiting RPCs must still be answered in time, rather than kept in the queue. */
+    /** Prevents waiting RPCs from missing their deadlines at a shutdown, which shortens them. */
     @Test void answersWaitingRpcsInTimeAtShutdown() {
         Harness harness = new Harness(50).overloaded();
         List<Rpc> rpcs = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             rpcs.add(harness.arrive("c" + i, WRITE, i % 2 == 0 ? 60 : 3000));
         }
-        rpcs.stream().filter(r -> !r.ended && r.deadline > harness.now + 60 * MS).forEach(r -> {
-            r.deadline = harness.now + 60 * MS;
-            harness.runBatch(() -> harness.controller.deadlineShortened(r));
+        rpcs.stream().filter(rpc -> !rpc.ended && rpc.deadline > harness.now + 60 * MS).forEach(rpc -> {
+            rpc.deadline = harness.now + 60 * MS;
+            harness.runBatch(() -> harness.controller.deadlineShortened(rpc));
         });
         harness.advance(61);
         assertTrue(rpcs.stream().allMatch(r -> r.ended || harness.everAdmitted.contains(r)));
@@ -237,18 +243,18 @@
         assertEquals(100, keys.size());
         harness.now += 64 * 400 * MS;
         harness.alarmAt = Long.MAX_VALUE;
-        for (Rpc r : rpcs) { // none expires here
-            ((AdmissionEntry) r.stageState).expiresAt += 1_000_000 * MS;
+        for (Rpc rpc : rpcs) { // none expires here
+            ((AdmissionEntry) rpc.stageState).expiresAt += 1_000_000 * MS;
         }
         long waitingBefore = harness.waiting();
         harness.runBatch(() -> { });
-        rpcs.stream().filter(r -> !r.ended && !harness.everAdmitted.contains(r))
+        rpcs.stream().filter(rpc -> !rpc.ended && !harness.everAdmitted.contains(rpc))
                 .forEach(r -> assertTrue(keys.add(((AdmissionEntry) r.stageState).clientKey),
                         "a new key for each client"));
         assertEquals(waitingBefore, harness.waiting() + harness.pushedBack.size());
     }
 
-    /** On generated inputs each RPC is admitted once, pushed back once, or its client leaves; no place is leaked. */
+    /** On generated inputs each RPC is admitted once or pushed back once, or its client leaves; no place leaks. */
     @Test void endsEachRpcExactlyOnce() {
         for (int seed = 0; seed < 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/reedquay/fair/FairSchedulerTest.java
+++ b/src/test/java/reedquay/fair/FairSchedulerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import reedquay.core.Rpc;
 
-/** FairScheduler against a slow reference model of lists on generated inputs, and its fairness. */
+/** Tests the fairness of FairScheduler, and compares it with a slow reference model of lists on generated inputs. */
 class FairSchedulerTest {
     private static final double[] WEIGHTS = {1, 3, 1.5};
 
@@ -30,7 +30,10 @@
         return new TrafficClass(scheduler.newQueue(), noReservations.new Schedule(0), 1, 1);
     }
 
-    /** Deficit round robin with lists as rings: the first with credit is served, others get a quantum and move last. */
+    /**
+     * Deficit round robin with lists as rings, of tenants and of the clients of each: the first with credit is served;
+     * one without credit gets a quantum and moves to the end. Reserved entries are served first, at their owners' cost.
+     */
     private static final class ReferenceModel {
         static final class Client {
             final long key;
@@ -175,7 +178,7 @@
                     models.get(entry.queue.index).remove(entry);
                 } else if (action > 4) {
                     AdmissionEntry next = scheduler.poll(trafficClasses.get(chosen).queue);
-                    assertSame(models.get(chosen).poll(), next, "seed " + seed + " step " + i);
+                    assertSame(models.get(chosen).poll(), next, "seed " + seed + ", step " + i);
                     waiting.remove(next);
                 }
                 assertEquals(waiting.size(), scheduler.waiting());
@@ -185,7 +188,10 @@
         }
     }
 
-    /** Work served by client and tenant (key 10 * clientKey + tenant) while each always has entries waiting. */
+    /**
+     * Returns the work served by client and tenant (10 * clientKey + tenant) in the given number of polls, while each
+     * always has entries waiting.
+     */
     private static Map<Long, Long> workServed(int[] tenants, long[] keys, long[] costs, int rounds) {
         FairScheduler scheduler = new FairScheduler(10 * keys.length, WEIGHTS);
         scheduler.setQuantum(1000);
@@ -212,6 +218,7 @@
         assertEquals(3, (work.get(31L) + work.get(41L)) / (double) (work.get(10L) + work.get(20L)), 0.05);
     }
 
+    /** Prevents a client from multiplying its share by sending under several tenants' names. */
     @Test void clientUsingThreeTenantNamesGetsLittleMoreThanOneShare() {
         double[] relative = new double[3];
         Map<Long, Long> work = workServed(new int[] {0, 1, 2, 0, 1, 2}, new long[] {7, 7, 7, 1, 2, 3},
--- a/src/test/java/reedquay/fair/RetryReservationsTest.java
+++ b/src/test/java/reedquay/fair/RetryReservationsTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Reservations by slot, their redemption and expiry, and a comparison with a model of maps. */
+/** Tests reservations by slot, their redemption and expiry, and compares them with a model of maps. */
 class RetryReservationsTest {
     private static final long MS = 1_000_000;
     private static final long SLOT_WIDTH = 50 * MS;
@@ -31,7 +31,7 @@
         assertTrue(reservedBySlot.values().stream().allMatch(n -> n <= 5), reservedBySlot.toString());
         assertTrue(reservedBySlot.size() >= 18, reservedBySlot.toString());
         assertEquals(400, reservedBySlot.values().stream().mapToInt(n -> n).sum() + refused);
-        assertTrue(refused > 250, "a reservation that can't be kept is not made");
+        assertTrue(refused > 250, "a reservation that cannot be kept is not made");
     }
 
     @Test void ratesBelowOnePerSlotUseOnlySomeSlots() {
@@ -59,8 +59,8 @@
         assertFalse(reads.redeem(42, now + 100 * MS), "a reservation can't be redeemed early");
         assertFalse(writes.redeem(42, now + retryAfter), "a reservation holds for one traffic class");
         assertTrue(reads.redeem(42, now + retryAfter), "an early attempt doesn't lose the reservation");
-        assertTrue(reads.redeem(42, now + retryAfter), "it was given to two RPCs");
-        assertFalse(reads.redeem(42, now + retryAfter), "each RPC redeems it once");
+        assertTrue(reads.redeem(42, now + retryAfter), "two RPCs share the reservation");
+        assertFalse(reads.redeem(42, now + retryAfter), "it is redeemed once for each RPC");
         retryAfter = reads.reserve(42, now, 300 * MS, 1000);
         assertEquals(0, reads.reserve(42, now + retryAfter + 100 * MS, 0, 1000),
                 "the holder of the reservation may still arrive");
@@ -117,6 +117,6 @@
                 }
             }
         }
-        assertTrue(redeemedCount > 5000, "redeemed " + redeemedCount);
+        assertTrue(redeemedCount > 5000, "reservations redeemed: " + redeemedCount);
     }
 }
