--- a/src/test/java/reedquay/ops/FairGatewayTest.java
+++ b/src/test/java/reedquay/ops/FairGatewayTest.java
@@ -28,7 +28,7 @@
 import reedquay.net.Configuration;
 import reedquay.net.Gateway;
 
-/** Admission control end to end on loopback: operators' file, gateway, and members that take time and queue. */
+/** Tests admission control end to end on loopback: operators' file, gateway, and members that take time and queue. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FairGatewayTest {
     private static final int GREEDY_CONNECTIONS = 40;
@@ -40,10 +40,10 @@
     private OperatorGateway operatorGateway;
     private Gateway gateway;
     private InetSocketAddress address;
-    private volatile boolean loading = true;
+    private volatile boolean sendingLoad = true;
 
     @AfterEach void stop() {
-        loading = false;
+        sendingLoad = false;
         if (gateway != null) {
             gateway.stop().join();
         }
@@ -80,11 +80,11 @@
                 + "SELECT data FROM facts WHERE code = '" + key + "'";
     }
 
-    /** Sends requests one after the other while the load is on; a greedy client without a pause, others with one. */
+    /** Starts a client that sends requests one after the other, without a pause if it is greedy. */
     private Thread startClient(String key, boolean greedy, AtomicLong requests, AtomicLong inTime) {
         Thread thread = new Thread(() -> {
             try (Connection connection = connect(key); Statement statement = connection.createStatement()) {
-                while (loading) {
+                while (sendingLoad) {
                     long startedAt = System.nanoTime();
                     requests.incrementAndGet();
                     try (ResultSet rows = statement.executeQuery(selectStatement(key))) {
@@ -105,7 +105,7 @@
         return thread;
     }
 
-    /** The share of the other clients' requests that is answered in time, beside a client on forty connections. */
+    /** Returns the share of the other clients' requests that is answered in time beside one greedy client. */
     private double othersServedInTime(String client) throws Exception {
         startGateway("[fair]\nenabled = true\nclient = \"" + client + "\"\n");
         AtomicLong[] counts = {new AtomicLong(), new AtomicLong(), new AtomicLong(), new AtomicLong()};
@@ -116,7 +116,7 @@
         for (int i = 0; i < OTHER_CLIENTS; i++) {
             threads.add(startClient("other" + i, false, counts[2], counts[3]));
         }
-        awaitCount(counts[0], 800); // until members are seen to be full and the concurrency limit adapts
+        awaitCount(counts[0], 800); // by then members have reported to be full and the concurrency limit has adapted
         long[] before = {counts[2].get(), counts[3].get()};
         awaitCount(counts[2], before[0] + 40L * OTHER_CLIENTS);
         try (Connection connection = connect("look"); Statement statement = connection.createStatement()) {
@@ -127,7 +127,7 @@
             assertTrue(showRows(statement, "tenants").get(0).startsWith("acme 1.0 "),
                     showRows(statement, "tenants").toString());
         }
-        loading = false;
+        sendingLoad = false;
         for (Thread thread : threads) {
             thread.join();
         }
@@ -155,15 +155,15 @@
         return rows;
     }
 
-    // the share is 0.86 on a busy machine, and 0.2 without admission control (lab load)
+    /** The share is 0.86 on a busy machine, and 0.2 without admission control (command "lab load"). */
     @Test void clientOnFortyConnectionsDoesNotStarveOthersIdentifiedByKey() throws Exception {
         double servedInTime = othersServedInTime("key");
-        assertTrue(servedInTime >= 0.6, "" + servedInTime);
+        assertTrue(servedInTime >= 0.6, "share served in time: " + servedInTime);
     }
 
     @Test void clientOnFortyConnectionsDoesNotStarveOthersIdentifiedByParameter() throws Exception {
         double servedInTime = othersServedInTime("parameter:application_name");
-        assertTrue(servedInTime >= 0.6, "" + servedInTime);
+        assertTrue(servedInTime >= 0.6, "share served in time: " + servedInTime);
     }
 
     /** A reload applies weights at once; settings that need a restart and an invalid file change nothing. */
--- a/src/test/java/reedquay/ops/OperatorConfigTest.java
+++ b/src/test/java/reedquay/ops/OperatorConfigTest.java
@@ -13,7 +13,7 @@
 import reedquay.cli.Commands;
 import reedquay.net.ClientIdentifier;
 
-/** Tests which operators' files are valid and how problems of others are reported. */
+/** Tests which operators' files are valid and how the problems of invalid ones are reported. */
 class OperatorConfigTest {
     @TempDir private Path directory;
 
--- a/src/test/java/reedquay/sim/WireTest.java
+++ b/src/test/java/reedquay/sim/WireTest.java
@@ -7,24 +7,27 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import reedquay.core.Decimal;
 import reedquay.route.Router;
 
-/** Tests the simulator's protocol: batches of lines go in, reply lines come out. */
+/** Tests the simulator's protocol: batches of input lines and the lines of their replies. */
 class WireTest {
     private static final String SPAWN = "SPAWN 7 Grades.count=1 Grades.0.Name=r Grades.0.OnTime=400.0"
             + " Grades.0.GiveUp=1000.0 Grades.0.Repeat=free Domain.ClassRead=any Tick=5.0 Allowed.SendCap=4 New.Key=x";
     private final SimHost host = new SimHost(Router::new);
 
+    /** The reply to one batch of lines at time 100.25 ms. */
     private String reply(String... lines) {
-        List<String> batch = new java.util.ArrayList<>(List.of("MARK 100.25"));
+        List<String> batch = new ArrayList<>(List.of("MARK 100.25"));
         batch.addAll(List.of(lines));
         batch.add("FLUSH");
         return host.reply(batch);
     }
 
+    /** Starts a gateway instance that knows one member, s.1 of group 4. */
     private String startInstance(String id) {
         return reply("ABOUT " + id, SPAWN, "DEFINE_LIST 0 1", "SERVER s.1 here std 4 U 0 1.5 -",
                 "MEMBERSHIP remembered 1 0");
@@ -50,6 +53,7 @@
         assertFalse(reply("ABOUT 5", "DONE 11 0 0 GOOD 18.5 1 s.1 -", "CLIENT_GONE 11").contains("11"));
     }
 
+    /** A number can be defined anew within a batch; an event refers to the definition that precedes it. */
     @Test void listNumberNamesTheListDefinedLastBeforeTheEvent() {
         startInstance("3");
         reply("DEFINE_LIST 0 1", "SERVER s.2 here std 4 U 0 1 -", "ABOUT 3", "MEMBERSHIP all 2 0",
@@ -75,18 +79,19 @@
     }
 
     @Test void malformedLineIsReportedWithWhatWasExpected() throws IOException {
-        for (String bad : List.of("JOB_IN x", "DONE 1 0 0 FINE 1 1 s.1 -", "NOISE", "MEMBERSHIP all 1 9", "ALARM")) {
+        for (String malformedLine : List.of("JOB_IN x", "DONE 1 0 0 FINE 1 1 s.1 -", "NOISE", "MEMBERSHIP all 1 9",
+                "ALARM")) {
             ByteArrayOutputStream err = new ByteArrayOutputStream();
-            String in = "MARK 1\nABOUT 3\n" + SPAWN + "\n" + bad + "\nFLUSH\n";
+            String in = "MARK 1\nABOUT 3\n" + SPAWN + "\n" + malformedLine + "\nFLUSH\n";
             assertEquals(1, SimHost.serve(new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)),
                     new ByteArrayOutputStream(), new PrintStream(err)));
-            assertTrue(err.toString().contains("expected") && err.toString().contains(bad), err.toString());
+            assertTrue(err.toString().contains("expected") && err.toString().contains(malformedLine), err.toString());
         }
         assertEquals(0, SimHost.serve(new ByteArrayInputStream(new byte[0]), System.out, System.err));
     }
 
     @Test void exceptionInTheEngineIsReportedAsCrash() {
-        SimHost broken = new SimHost((settings, effects) -> {
+        SimHost broken = new SimHost((settings, actions) -> {
             throw new IllegalStateException("engine failed");
         });
         String reply = broken.reply(List.of("MARK 1", "ABOUT 3", SPAWN, "FLUSH"));
