--- a/src/test/java/reedquay/DeferredActionTest.java
+++ b/src/test/java/reedquay/DeferredActionTest.java
@@ -7,10 +7,11 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
 
+/** Tests that reload signals before the start and log lines during a shutdown are not lost. */
 class DeferredActionTest {
     /**
-     * A signal that asks for a reload before the gateway runs must neither end the process nor be lost: the reload runs
-     * once the start is complete.
+     * Prevents a signal that asks for a reload before the gateway runs from ending the process or being lost: the
+     * reload runs once the start is complete.
      */
     @Test void requestsBeforeEnablingRunOnceWhenEnabled() {
         AtomicInteger runs = new AtomicInteger();
@@ -25,12 +26,12 @@
     }
 
     /**
-     * Lines logged during a shutdown must not be lost: the shutdown hook of the JVM's logging resets the log manager
-     * while the gateway still answers RPCs.
+     * Prevents the loss of lines logged during a shutdown, which happens when the shutdown hook of the JVM's logging
+     * resets the log manager while the gateway still answers RPCs.
      */
     @Test void handlersSurviveTheReset() {
         PersistentLogManager manager = new PersistentLogManager();
-        Logger logger = new Logger("kept", null) { };
+        Logger logger = new Logger("test", null) { };
         logger.addHandler(new ConsoleHandler());
         manager.addLogger(logger);
         manager.reset();
--- a/src/test/java/reedquay/pg/FrameDecoderTest.java
+++ b/src/test/java/reedquay/pg/FrameDecoderTest.java
@@ -13,15 +13,18 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Tests how the decoder splits a byte stream into messages, and that messages are encoded and read alike. */
 class FrameDecoderTest {
+    /** Decodes a stream that arrives in chunks of the given size; each frame as its type and its bytes in hex. */
     private static List<String> decode(EmbeddedChannel channel, ByteBuf stream, int chunkBytes) {
         List<String> frames = new ArrayList<>();
         while (stream.isReadable()) {
             channel.writeInbound(stream.readRetainedSlice(Math.min(chunkBytes, stream.readableBytes())));
-            for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
-                frames.add((char) f.type + ByteBufUtil.hexDump(f.content()));
-                assertEquals(f.content().readableBytes(), f.bodyLength() + (f.type == Frame.UNTYPED ? 4 : 5));
-                f.release();
+            for (Frame frame = channel.readInbound(); frame != null; frame = channel.readInbound()) {
+                frames.add((char) frame.type + ByteBufUtil.hexDump(frame.content()));
+                assertEquals(frame.content().readableBytes(),
+                        frame.bodyLength() + (frame.type == Frame.UNTYPED ? 4 : 5));
+                frame.release();
             }
         }
         stream.release();
@@ -29,7 +32,7 @@
         return frames;
     }
 
-    /** However the network splits the stream, the same messages come out, with the bytes that went in. */
+    /** However the network splits the stream, the same messages are decoded, with the bytes that were sent. */
     @Test void messagesAreTheSameHoweverTheStreamIsSplit() {
         SplittableRandom random = new SplittableRandom(11);
         for (int round = 0; round < 6; round++) {
@@ -73,9 +76,9 @@
             assertThrows(CorruptedFrameException.class, () -> channel.writeInbound(stream));
             channel.writeInbound(Messages.query(Unpooled.buffer(), "after"));
             List<Integer> types = new ArrayList<>();
-            for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
-                types.add((int) f.type);
-                f.release();
+            for (Frame frame = channel.readInbound(); frame != null; frame = channel.readInbound()) {
+                types.add((int) frame.type);
+                frame.release();
             }
             assertFalse(types.contains((int) 'Q'), "messages after a malformed one are discarded");
             channel.finishAndReleaseAll();
@@ -107,9 +110,10 @@
                         result.append("!");
                     }
                 }
-                for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
-                    result.append((char) f.type).append(f.isWellFormed()).append(ByteBufUtil.hexDump(f.content()));
-                    f.release();
+                for (Frame frame = channel.readInbound(); frame != null; frame = channel.readInbound()) {
+                    result.append((char) frame.type).append(frame.isWellFormed())
+                            .append(ByteBufUtil.hexDump(frame.content()));
+                    frame.release();
                 }
                 result.append(decoder.hasPartialMessage()).append(decoder.bufferedBytes());
                 expected = expected == null ? result.toString() : expected;
