--- a/lab/src/test/java/reedquay/lab/FairQueueScenariosTest.java
+++ b/lab/src/test/java/reedquay/lab/FairQueueScenariosTest.java
@@ -4,10 +4,12 @@
 import static reedquay.lab.FairQueueScenarios.*;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import reedquay.core.Settings;
 import reedquay.core.Stage;
+import reedquay.fair.AdmissionController;
 import reedquay.lab.FairQueueScenarios.AdmissionMode;
 import reedquay.lab.GatewaySimulation.RequestStream;
 import reedquay.lab.GatewaySimulation.RetryPolicy;
@@ -56,11 +58,12 @@
                 TEN_SECONDS);
     }
 
+    /** Prevents a client that sends twenty times its share from taking capacity that others need. */
     @Test void greedyClientDoesNotReduceOthersUtility() {
         for (RetryPolicy retryPolicy : RetryPolicy.values()) {
             double share = othersRelativeUtility(AdmissionMode.CLIENTS, 1,
                     List.of(greedyStream("red", 20, retryPolicy)));
-            assertTrue(share >= 0.99, retryPolicy + " " + share);
+            assertTrue(share >= 0.99, retryPolicy + ": " + share);
         }
         assertTrue(othersRelativeUtility(AdmissionMode.NOTHING, 1,
                 List.of(greedyStream("red", 20, RetryPolicy.EAGER))) < 0.95, "the Router alone protects nobody");
@@ -68,11 +71,12 @@
                 List.of(greedyStream("red", 20, RetryPolicy.EAGER))) < 0.95, "queues by tenant do not protect others");
     }
 
+    /** Prevents a client from multiplying its share by sending under several tenants' names. */
     @Test void greedyClientUsingThreeTenantsDoesNotReduceOthersUtility() {
         double share = othersRelativeUtility(AdmissionMode.CLIENTS, 2,
                 List.of(greedyStream("red", 7, RetryPolicy.EAGER), greedyStream("green", 7, RetryPolicy.EAGER),
                 greedyStream("blue", 6, RetryPolicy.EAGER)));
-        assertTrue(share >= 0.99, "" + share);
+        assertTrue(share >= 0.99, "relative utility of the others: " + share);
     }
 
     /**
@@ -95,9 +99,10 @@
             inTime += streams.stream().mapToLong(s -> s.advisedRetriesInTime).sum();
         }
         assertTrue(advisedRetries > 1000, "retries at the advised time: " + advisedRetries);
-        assertTrue(inTime >= 0.95 * advisedRetries, inTime + " in time, of " + advisedRetries);
+        assertTrue(inTime >= 0.95 * advisedRetries, inTime + " served in time, of " + advisedRetries + " such retries");
     }
 
+    /** Prevents shares from leaving replicas idle, which happens when a client is limited though others need less. */
     @Test void greedyClientGetsCapacityThatOthersLeave() {
         GatewaySimulation simulation = simulation(threeTenants(), 3, AdmissionMode.CLIENTS, 1000);
         List<RequestStream> others = new ArrayList<>();
@@ -110,7 +115,7 @@
         assertRulesHold(simulation);
         double work = greedy.workNanos + others.stream().mapToDouble(s -> s.workNanos).sum();
         assertTrue(work >= 0.98 * 4 * TEN_SECONDS, "utilization of the replicas: " + work / (4 * TEN_SECONDS));
-        assertTrue(utilityShare(others) > 0.99, "" + utilityShare(others));
+        assertTrue(utilityShare(others) > 0.99, "the others' share of utility: " + utilityShare(others));
     }
 
     /**
@@ -128,13 +133,14 @@
                 addEvenClients(simulation, "green", 4, CHEAP, 0.2, RetryPolicy.POLITE, TEN_SECONDS);
         simulation.runUntil(13_000);
         assertRulesHold(simulation);
-        assertTrue(oneTime.requests > 9_500, "" + oneTime.requests);
-        assertTrue(utilityShare(green) > 0.98, "another tenant has its share: " + utilityShare(green));
+        assertTrue(oneTime.requests > 9_500, "requests of one-time clients: " + oneTime.requests);
+        assertTrue(utilityShare(green) > 0.98, "the other tenant's share of utility: " + utilityShare(green));
         double ratio = utilityShare(recurring) / oneTime.utilityShare();
         assertTrue(ratio > 0.8 && ratio < 1.25 && oneTime.utilityShare() > 0.2,
                 "recurring clients: " + utilityShare(recurring) + ", one-time clients: " + oneTime.utilityShare());
     }
 
+    /** Prevents a leak of state per client: a million clients must take no more memory than a thousand. */
     @Test void memoryDoesNotGrowWithTheNumberOfClients() {
         long[] bytes = new long[2];
         for (int i = 0; i < 2; i++) {
@@ -147,14 +153,14 @@
             simulation.runUntil(20_000);
             assertRulesHold(simulation);
             assertEquals(clients, stream.requests);
-            bytes[i] = ((reedquay.fair.AdmissionController) simulation.engine()).memoryBytes();
+            bytes[i] = ((AdmissionController) simulation.engine()).memoryBytes();
         }
         assertEquals(bytes[0], bytes[1]);
     }
 
     /**
-     * After a stall, 800 clients send a request at once, and retry. A second and a half later, other clients are served
-     * in time again, so no queue is left standing.
+     * Prevents a queue that stays long after a stall, when 800 clients send a request at once, and retry. A second and
+     * a half later, other clients must be served in time again.
      */
     @Test void burstAfterAStallDoesNotDelayLaterRequests() {
         GatewaySimulation simulation = simulation(threeTenants(), 6, AdmissionMode.CLIENTS, 1000);
@@ -171,10 +177,11 @@
         assertRulesHold(simulation);
         double shareAfter = (others.stream().mapToLong(s -> s.servedInTime).sum() - countsBefore[1])
                 / (double) (others.stream().mapToLong(s -> s.requests).sum() - countsBefore[0]);
-        assertTrue(shareAfter > 0.99, "" + shareAfter);
-        assertTrue(burst.utilityShare() > 0.25, "" + burst.utilityShare());
+        assertTrue(shareAfter > 0.99, "share served in time after the burst: " + shareAfter);
+        assertTrue(burst.utilityShare() > 0.25, "the burst's share of utility: " + burst.utilityShare());
     }
 
+    /** Prevents a tenant with many clients, at twice the capacity, from taking what a tenant with one client needs. */
     @Test void largeTenantDoesNotReduceASmallTenantsShare() {
         Settings settings = settings(new Settings.Tenant("large", 1000), new Settings.Tenant("small", 1000));
         for (AdmissionMode admissionMode : List.of(AdmissionMode.CLIENTS, AdmissionMode.NOTHING)) {
@@ -211,10 +218,10 @@
                 addEvenClients(simulation, "red", 100, CHEAP, 2, RetryPolicy.POLITE, TEN_SECONDS);
         simulation.runUntil(10_000);
         double index = jainIndex(streams.stream().mapToDouble(s -> s.served).toArray());
-        assertTrue(index > 0.98, "" + index);
+        assertTrue(index > 0.98, "Jain's fairness index: " + index);
     }
 
-    /** A replica stops while the queues are full, and restarts two seconds later. */
+    /** Prevents a queue from staying long after a replica stops, with full queues, and restarts two seconds later. */
     @Test void lossAndReturnOfCapacityLeaveNoStandingQueue() {
         GatewaySimulation simulation = simulation(threeTenants(), 10, AdmissionMode.CLIENTS, 1000);
         List<RequestStream> others = addOtherClients(simulation);
@@ -230,8 +237,8 @@
         assertRulesHold(simulation);
         // a second after each change, no more RPCs wait than are served within a soft deadline
         assertTrue(waiting[0] <= 0.4 * CAPACITY_PER_SECOND / 2 && waiting[1] <= 0.4 * CAPACITY_PER_SECOND
-                && waiting[2] <= 0.4 * CAPACITY_PER_SECOND, java.util.Arrays.toString(waiting));
-        assertTrue(utilityShare(others) > 0.75, "" + utilityShare(others));
+                && waiting[2] <= 0.4 * CAPACITY_PER_SECOND, Arrays.toString(waiting));
+        assertTrue(utilityShare(others) > 0.75, "the others' share of utility: " + utilityShare(others));
     }
 
     /** Returns the column "waiting" of the first row of SHOW ways. */
--- a/lab/src/test/java/reedquay/lab/RpcTraceTest.java
+++ b/lab/src/test/java/reedquay/lab/RpcTraceTest.java
@@ -18,8 +18,8 @@
     @TempDir private Path logs;
 
     /**
-     * Logs of two gateways that span midnight: an attempt pushed back by one, a retry served by the other, and lines
-     * that belong to no attempt.
+     * The logs of two gateways span midnight. One pushes an attempt back, the other serves its retry; some lines belong
+     * to no attempt.
      */
     @Test void attemptsAreSummedOverGatewayLogs() throws Exception {
         Files.write(logs.resolve("a.log"), List.of("listening on /127.0.0.1:1",
@@ -45,7 +45,7 @@
         CommandLine command = new CommandLine(new TraceSummary()).setErr(new PrintWriter(errors));
         assertEquals(2, command.execute(logs.resolve("none").toString()));
         assertTrue(errors.toString().contains("does not exist; name the folder"), errors.toString());
-        assertEquals(1, command.execute(logs.toString()), "the directory has no trace");
+        assertEquals(1, command.execute(logs.toString()), "the directory has no trace lines");
         assertEquals(1, command.execute(logs.toString(), "--rpc", "a1"));
     }
 
