--- a/src/test/java/reedquay/net/GatewayTest.java
+++ b/src/test/java/reedquay/net/GatewayTest.java
@@ -153,17 +153,17 @@
     /**
      * The comment that starts a statement: a new id, the method, the time to the deadline, and more fields as given.
      */
-    private String leadingComment(String method, int waitMillis, String moreFields) {
+    private String leadingComment(String method, int timeoutMillis, String moreFields) {
         return "/* id=" + Long.toHexString(0x1000 + nextId.getAndIncrement()) + ",c=" + method + ",t=acme,d="
-                + waitMillis + ",cluster=1" + moreFields + " */ ";
+                + timeoutMillis + ",cluster=1" + moreFields + " */ ";
     }
 
-    private String readStatement(String method, int waitMillis) {
-        return leadingComment(method, waitMillis, "") + "SELECT data FROM facts WHERE code = 'k'";
+    private String readStatement(String method, int timeoutMillis) {
+        return leadingComment(method, timeoutMillis, "") + "SELECT data FROM facts WHERE code = 'k'";
     }
 
-    private String writeStatement(int waitMillis, String data) {
-        return leadingComment("order", waitMillis, ",k=77") + "INSERT INTO facts (code, data) VALUES ('k', '" + data
+    private String writeStatement(int timeoutMillis, String data) {
+        return leadingComment("order", timeoutMillis, ",k=77") + "INSERT INTO facts (code, data) VALUES ('k', '" + data
                 + "') RETURNING data";
     }
 
@@ -201,8 +201,8 @@
             assertTrue(primary.statements.stream().skip(1).allMatch(t -> t.contains("c=basket")));
             String sent = primary.statements.get(0);
             assertTrue(sent.matches("/\\* id=[0-9a-f]+,c=order,t=acme,d=\\d+,cluster=1,k=77 \\*/ INSERT .*"), sent);
-            long waitMillis = Long.parseLong(sent.replaceAll(".*d=(\\d+),.*", "$1"));
-            assertTrue(waitMillis > 0 && waitMillis <= 3000, sent);
+            long timeoutMillis = Long.parseLong(sent.replaceAll(".*d=(\\d+),.*", "$1"));
+            assertTrue(timeoutMillis > 0 && timeoutMillis <= 3000, sent);
         }
     }
 
@@ -229,8 +229,8 @@
     /** Waits until all members serve again, so that one case has no effect on the next. */
     private void awaitAllMembersServing(Client client) throws IOException {
         setFaultOfAll("");
-        for (String got = ""; !got.startsWith("T"); ) {
-            got = client.ask(writeStatement(3000, "well"));
+        for (String answer = ""; !answer.startsWith("T"); ) {
+            answer = client.ask(writeStatement(3000, "well"));
         }
         for (String name : List.of("two", "three")) {
             int before = standIn.server(name).statements.size();
@@ -991,6 +991,9 @@
         await(() -> counter("client.heldbytes") == 0, "the memory is released");
     }
 
+    /**
+     * Six clients send at once while the members' faults change at random: each RPC gets its own answer or an error.
+     */
     @Test void eachRpcOfARandomRunGetsOneAnswer() throws Exception {
         ready().close();
         String[] faults = {"", "", "", "53300", "XX000", "reset", "silent", "half", "garbage", "72000", "crowded"};
--- a/src/test/java/reedquay/route/RouterTest.java
+++ b/src/test/java/reedquay/route/RouterTest.java
@@ -78,6 +78,10 @@
         assertTrue(front.aborted.contains(rpc));
     }
 
+    /**
+     * A write that may have run is retried within its window of 1000 ms, here in vain; once that has passed it is
+     * aborted.
+     */
     @Test void tokenedRpcIsRetriedOnlyWithinItsDeduplicationWindow() {
         Rpc rpc = front.arrive(WRITE, 0);
         front.answer(front.lastCallOut(rpc), Outcome.RESET, LoadReport.NO_POSITION, Role.UNKNOWN);
@@ -385,6 +389,9 @@
         assertFalse(front.arrive(ANY, 0, false, "small").ended);
     }
 
+    /**
+     * A bounded read that is held shows overload: an RPC whose call-out fails is then pushed back rather than retried.
+     */
     @Test void noRetryUnderOverload() {
         front.reportPosition("r1", 500);
         front.reportPosition("r2", 500);
--- a/src/test/java/reedquay/route/RulesTest.java
+++ b/src/test/java/reedquay/route/RulesTest.java
@@ -279,6 +279,7 @@
         }
     }
 
+    /** The counts at the end show that the inputs put the rules to the test often enough. */
     @Test void rulesHoldOnGeneratedInputs() {
         int sent = 0;
         int aborted = 0;
