--- a/lab/src/main/java/reedquay/fair/DoorCost.java
+++ b/lab/src/main/java/reedquay/fair/DoorCost.java
@@ -81,7 +81,7 @@
 
         @Override public void sendCallOut(CallOut callOut, long limit) { }
 
-        @Override public void pushBack(Rpc rpc, long after) { }
+        @Override public void pushBack(Rpc rpc, long retryAfter) { }
 
         @Override public void scheduleWakeUp(long delay) { }
 
--- a/lab/src/main/java/reedquay/lab/FleetSimulation.java
+++ b/lab/src/main/java/reedquay/lab/FleetSimulation.java
@@ -205,9 +205,9 @@
             }));
         }
 
-        @Override public void pushBack(Rpc rpc, long after) {
+        @Override public void pushBack(Rpc rpc, long retryAfter) {
             rpcAnswered(rpc);
-            schedule(now + after, retries.remove(rpc));
+            schedule(now + retryAfter, retries.remove(rpc));
         }
 
         @Override public void abort(Rpc rpc) {
--- a/src/main/java/reedquay/core/Latency.java
+++ b/src/main/java/reedquay/core/LatencyHistogram.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** A latency histogram with bins of doubling width, in which earlier samples lose weight exponentially. */
-public final class Latency {
+public final class LatencyHistogram {
     private static final int BINS = 8;
     private final int[] weights = new int[BINS];
     private final long unit;
@@ -11,10 +11,10 @@
     private int totalWeight;
 
     /** unit: the upper end of the first bin, in nanoseconds. */
-    public Latency(long unit) { this(unit, 32); }
+    public LatencyHistogram(long unit) { this(unit, 32); }
 
     /** halvingSamples: the number of further samples after which earlier ones count half. */
-    public Latency(long unit, int halvingSamples) {
+    public LatencyHistogram(long unit, int halvingSamples) {
         this.unit = Math.max(1, unit); // prevents a division by zero, which happens with a soft deadline of zero
         this.sampleLimit = 2 * halvingSamples;
     }
--- a/src/main/java/reedquay/fair/AdmissionController.java
+++ b/src/main/java/reedquay/fair/AdmissionController.java
@@ -15,7 +15,7 @@
 import java.util.zip.CRC32;
 import reedquay.core.CallOut;
 import reedquay.core.RoutingActions;
-import reedquay.core.Latency;
+import reedquay.core.LatencyHistogram;
 import reedquay.core.ListedMember;
 import reedquay.core.Method;
 import reedquay.core.Outcome;
@@ -142,7 +142,7 @@
     private final FairScheduler scheduler;
     private final RetryReservations reservations;
     private final HeavyHitters heavyHitters = new HeavyHitters(HEAVY_HITTER_COUNT);
-    private final Map<Method, Latency> costsByMethod = new IdentityHashMap<>(); // never iterated
+    private final Map<Method, LatencyHistogram> costsByMethod = new IdentityHashMap<>(); // never iterated
     private final AdmissionEntry[] timerWheel; // waiting entries by the time at which they expire
     private final CRC32 crc = new CRC32();
     private final ByteBuffer randomInput = ByteBuffer.allocate(2 * Long.BYTES);
@@ -629,8 +629,8 @@
         return trafficClass.serviceTimes.mean(shortestSoftDeadline / 4);
     }
 
-    private Latency costsOf(Method method) {
-        return costsByMethod.computeIfAbsent(method, x -> new Latency(Math.max(1, shortestSoftDeadline / 256)));
+    private LatencyHistogram costsOf(Method method) {
+        return costsByMethod.computeIfAbsent(method, x -> new LatencyHistogram(Math.max(1, shortestSoftDeadline / 256)));
     }
 
     private long clientKey(Hasher64 seededHasher, Rpc rpc) {
--- a/src/main/java/reedquay/fair/TrafficClass.java
+++ b/src/main/java/reedquay/fair/TrafficClass.java
@@ -1,14 +1,14 @@
 package reedquay.fair;
 
-import reedquay.core.Latency;
+import reedquay.core.LatencyHistogram;
 
 /** The reads or the writes of one group: their queue, concurrency limit, service rate and retry-after schedule. */
 final class TrafficClass {
     final FairScheduler.Queue queue;
     final ConcurrencyLimit concurrencyLimit = new ConcurrencyLimit();
     final RetryReservations.Schedule schedule;
-    final Latency holdTimes; // from admission to first call-out, scaled to the shortest soft deadline
-    final Latency serviceTimes; // from admission to answer
+    final LatencyHistogram holdTimes; // from admission to first call-out, scaled to the shortest soft deadline
+    final LatencyHistogram serviceTimes; // from admission to answer
     private final long window; // nanoseconds
     private long windowStartedAt;
     private double servedRpcs; // in this window
@@ -23,8 +23,8 @@
         this.queue = queue;
         this.schedule = schedule;
         this.window = window;
-        holdTimes = new Latency(Math.max(1, timeUnit / 16));
-        serviceTimes = new Latency(timeUnit);
+        holdTimes = new LatencyHistogram(Math.max(1, timeUnit / 16));
+        serviceTimes = new LatencyHistogram(timeUnit);
     }
 
     /**
--- a/src/main/java/reedquay/net/Configuration.java
+++ b/src/main/java/reedquay/net/Configuration.java
@@ -23,7 +23,7 @@
  * for none; memoryMb: the memory limit, in MiB; sockets: the limit on file descriptors.
  */
 public record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int memoryMb, int sockets, JsonObject rememberedMembers, SettingsReader settings) {
+        int memoryMb, int sockets, JsonObject cachedMembers, SettingsReader settings) {
 
     /** Reads the JSON file that the platform writes. Throws IllegalArgumentException where it is invalid. */
     public static Configuration read(Path file) throws IOException {
--- a/src/main/java/reedquay/net/Gateway.java
+++ b/src/main/java/reedquay/net/Gateway.java
@@ -90,8 +90,8 @@
     public CompletableFuture<InetSocketAddress> start() {
         CompletableFuture<InetSocketAddress> bound = new CompletableFuture<>();
         loop.execute(() -> {
-            if (configuration.rememberedMembers() != null) {
-                discovery.restore(configuration.rememberedMembers());
+            if (configuration.cachedMembers() != null) {
+                discovery.restore(configuration.cachedMembers());
             }
             discovery.moveTo(configuration.discovery());
             sweep();
--- a/src/main/java/reedquay/route/Router.java
+++ b/src/main/java/reedquay/route/Router.java
@@ -121,7 +121,7 @@
         final Member member;
         Group group = new Group(-1); // until listed
         // normalized: scaled as if the method had the shortest soft deadline
-        final Latency latency, normalizedLatency, recentNormalizedLatency;
+        final LatencyHistogram latency, normalizedLatency, recentNormalizedLatency;
         final ArrayDeque<Long> recentSends = new ArrayDeque<>(); // times of call-outs within the last cold window
         boolean accepting; // listed and not draining; nor gone, unless gone members stay usable
         boolean listedPrimary;
@@ -145,9 +145,9 @@
         Endpoint(Member member, long latencyUnit) {
             this.member = member;
             member.routingState = this;
-            this.latency = new Latency(latencyUnit);
-            this.normalizedLatency = new Latency(latencyUnit);
-            this.recentNormalizedLatency = new Latency(latencyUnit, RECENT_SAMPLES);
+            this.latency = new LatencyHistogram(latencyUnit);
+            this.normalizedLatency = new LatencyHistogram(latencyUnit);
+            this.recentNormalizedLatency = new LatencyHistogram(latencyUnit, RECENT_SAMPLES);
         }
 
         /** Forgets the role, so that a read of any lag may ask for it again. */
@@ -198,7 +198,7 @@
     private final TokenBucket unlimitedBucket = new TokenBucket();
     // by method: clients' first attempts, and RPCs that were served within their soft deadline
     private final Map<Method, SuccessRate> successRates = new IdentityHashMap<>();
-    private final Latency overallLatency; // of all members
+    private final LatencyHistogram overallLatency; // of all members
     private long randomCounter, timerSequence, now, windowStart, wakeUpAt = NEVER;
     // successful answers in the current cold window, and those of primaries
     private int windowAnswers, windowPrimaryAnswers;
@@ -238,7 +238,7 @@
         coldShare = settings.rules().coldShare();
         coldCapacityMultiple = settings.rules().coldCapacityMultiple();
         retryAfter = capabilities.retryAfter() ? Math.min(shortestSoftDeadline / 4, capabilities.maxRetryAfter()) : 0;
-        overallLatency = new Latency(shortestSoftDeadline / 16);
+        overallLatency = new LatencyHistogram(shortestSoftDeadline / 16);
         if (capabilities.memberListOnRequest()) {
             actions.requestMemberList();
         }
--- a/src/main/java/reedquay/sim/SimGateway.java
+++ b/src/main/java/reedquay/sim/SimGateway.java
@@ -256,9 +256,9 @@
         out.append(callOut.rpc.callOuts.indexOf(callOut)).append('\n');
     }
 
-    @Override public void pushBack(Rpc rpc, long after) {
+    @Override public void pushBack(Rpc rpc, long retryAfter) {
         out.append("PUSH_BACK ").append(rpc.id).append(' ');
-        LineReader.appendMillis(out, after);
+        LineReader.appendMillis(out, retryAfter);
         out.append('\n');
         rpc.ended = true;
         forget(rpc);
--- a/src/test/java/reedquay/route/RouterTest.java
+++ b/src/test/java/reedquay/route/RouterTest.java
@@ -894,7 +894,7 @@
      * zero.
      */
     @Test void zeroSoftDeadlineAndZeroUnitCauseNoDivisionByZero() {
-        Latency zeroUnit = new Latency(0);
+        LatencyHistogram zeroUnit = new LatencyHistogram(0);
         zeroUnit.add(7);
         assertTrue(zeroUnit.mean(5) > 0);
         TestFront front = withAnswersOnly(1, "r");
--- a/src/test/java/reedquay/sim/WireTest.java
+++ b/src/test/java/reedquay/sim/WireTest.java
@@ -91,7 +91,7 @@
     }
 
     @Test void exceptionInTheEngineIsReportedAsCrash() {
-        SimHost broken = new SimHost((settings, effects) -> {
+        SimHost broken = new SimHost((settings, actions) -> {
             throw new IllegalStateException("engine failed");
         });
         String reply = broken.reply(List.of("MARK 1", "ABOUT 3", SPAWN, "FLUSH"));
