--- a/src/main/java/reedquay/fair/TrafficClass.java
+++ b/src/main/java/reedquay/fair/TrafficClass.java
@@ -1,14 +1,14 @@
 package reedquay.fair;
 
-import reedquay.core.Latency;
+import reedquay.core.LatencyHistogram;
 
 /** The reads or the writes of one group: their queue, concurrency limit, service rate and retry-after schedule. */
 final class TrafficClass {
     final FairScheduler.Queue queue;
     final ConcurrencyLimit concurrencyLimit = new ConcurrencyLimit();
     final RetryReservations.Schedule schedule;
-    final Latency holdTimes; // from admission to first call-out, scaled to the shortest soft deadline
-    final Latency serviceTimes; // from admission to answer
+    final LatencyHistogram holdTimes; // from admission to first call-out, scaled to the shortest soft deadline
+    final LatencyHistogram serviceTimes; // from admission to answer
     private final long window; // nanoseconds
     private long windowStartedAt;
     private double servedRpcs; // in this window
@@ -19,12 +19,16 @@
     long lastOkAt = Long.MIN_VALUE; // time of the last ok answer
     long lastQueuedAt = Long.MIN_VALUE; // when an RPC was last queued or rejected
 
+    /**
+     * timeUnit: the unit of the service times; that of the hold times is a sixteenth of it. window: the length of the
+     * windows over which rates are measured. Both are in nanoseconds.
+     */
     TrafficClass(FairScheduler.Queue queue, RetryReservations.Schedule schedule, long timeUnit, long window) {
         this.queue = queue;
         this.schedule = schedule;
         this.window = window;
-        holdTimes = new Latency(Math.max(1, timeUnit / 16));
-        serviceTimes = new Latency(timeUnit);
+        holdTimes = new LatencyHistogram(Math.max(1, timeUnit / 16));
+        serviceTimes = new LatencyHistogram(timeUnit);
     }
 
     /**
@@ -49,11 +53,13 @@
         saturated = queue.length() > 0 || !queue.reserved.isEmpty();
     }
 
+    /** Counts an RPC that was answered; cost: its expected work in nanoseconds. */
     void recordServed(long cost) {
         servedRpcs++;
         servedWork += cost;
     }
 
+    /** Records that an RPC waited or was pushed back, so that what is served in this window shows the capacity. */
     void markSaturated() { saturated = true; }
 
     /** RPCs per second as measured under overload; before that, the concurrency limit over the service time. */
--- a/src/main/java/reedquay/net/DiscoveryClient.java
+++ b/src/main/java/reedquay/net/DiscoveryClient.java
@@ -57,7 +57,7 @@
         return reconciler.hasReceivedList();
     }
 
-    /** Restores the list that this gateway had before a restart. */
+    /** Restores the cached list, which this gateway had before a restart. */
     void restore(JsonObject cachedList) {
         reconcilerNow().restore(parseList(cachedList, true));
     }
@@ -67,6 +67,7 @@
         reconcilerNow().moveTo(newAddress);
     }
 
+    /** Closes the watches that have received nothing, heartbeats included, for too long. */
     void closeSilentWatches() {
         reconcilerNow().closeSilentWatches();
     }
